--- a/tests/router/deployed/conftest.py
+++ b/tests/router/deployed/conftest.py
@@ -9,9 +9,9 @@
 
 import msgspec
 import pytest
+from tests.router.connections import async_open_connection
 
 from lacewingspar_router.application import Application
-from lacewingspar_router.http1.client import async_connect
 from lacewingspar_router.http1.messages import (
     Response,
     ResponseEnd,
@@ -86,7 +86,7 @@
 
     async def send(self, data: bytes) -> Answer:
         """Send bytes and return the answer."""
-        connection = await async_connect(self.address)
+        connection = await async_open_connection(self.address)
         connection.send(data)
         answer = Answer()
         try:
--- a/tests/router/deployed/test_hand_over.py
+++ b/tests/router/deployed/test_hand_over.py
@@ -4,13 +4,13 @@
 
 import pytest
 import structlog
+from tests.router.connections import async_open_connection
 from tests.router.deployed.conftest import Caller, Deployment, until
 
 from lacewingspar_core.hand_over import HandOverShare
 from lacewingspar_core.messages import RouterState
 from lacewingspar_router.components.forwarding import hand_over
 from lacewingspar_router.components.peers.models import PEERS
-from lacewingspar_router.http1.client import async_connect
 from lacewingspar_standins.deployed.documents import request_bytes
 
 
@@ -91,7 +91,7 @@
     engines = [served.upstream_by_id[name] for name in ("e1", "e2")]
     for engine in engines:
         engine.pause_seconds = 0.5
-    connection = await async_connect(late.address)
+    connection = await async_open_connection(late.address)
     connection.send(request_bytes("/stream/x", "a-leaves", 3000))
     await until(lambda: any(engine.running for engine in engines))
     connection.abort()
--- a/tests/router/deployed/test_load_monitor.py
+++ b/tests/router/deployed/test_load_monitor.py
@@ -6,10 +6,10 @@
 
 import pytest
 import structlog
+from tests.router.connections import async_open_connection
 from tests.router.deployed.conftest import Deployment, until
 
 from lacewingspar_router.components.forwarding import const
-from lacewingspar_router.http1.client import async_connect
 
 
 async def test_line_tells_connections_descriptors_and_delay(
@@ -20,7 +20,9 @@
     # The line about the connections opened below follows one without any.
     await asyncio.sleep(0.3)
     with structlog.testing.capture_logs() as lines:
-        connections = [await async_connect(caller.address) for _ in range(5)]
+        connections = [
+            await async_open_connection(caller.address) for _ in range(5)
+        ]
         await until(lambda: any(line.get("accepted") == 5 for line in lines))
     (line,) = [line for line in lines if line.get("accepted") == 5]
     assert line["event"] == "router load"
--- a/tests/router/test_connection_memory.py
+++ b/tests/router/test_connection_memory.py
@@ -7,8 +7,8 @@
 from collections.abc import AsyncIterator, Iterator
 
 import pytest
+from tests.router.connections import async_open_connection
 
-from lacewingspar_router.http1.client import async_connect
 from lacewingspar_router.http1.exchange import ServerExchange
 from lacewingspar_router.http1.messages import ResponseEnd
 from lacewingspar_router.http1.server import Http1Server
@@ -43,7 +43,7 @@
 
 async def ask(address: str) -> object:
     """Send one request and return its connection, which stays open."""
-    connection = await async_connect(address)
+    connection = await async_open_connection(address)
     connection.send(REQUEST)
     while not isinstance(await connection.next_event(), ResponseEnd):
         pass
@@ -71,7 +71,7 @@
     server: Http1Server,
 ) -> None:
     """Guards against memory that grows until the next full collection."""
-    client = await async_connect(f"127.0.0.1:{server.port}")
+    client = await async_open_connection(f"127.0.0.1:{server.port}")
     client.send(REQUEST)
     while not isinstance(await client.next_event(), ResponseEnd):
         pass
--- a/tests/router/test_http1_server.py
+++ b/tests/router/test_http1_server.py
@@ -4,9 +4,10 @@
 
 import pytest
 import structlog
+from tests.router.connections import async_open_connection
 
 from lacewingspar_router.http1 import server as http1_server
-from lacewingspar_router.http1.client import async_connect, async_exchange
+from lacewingspar_router.http1.client import async_exchange
 from lacewingspar_router.http1.client_connection import ClientConnection
 from lacewingspar_router.http1.exchange import ServerExchange
 from lacewingspar_router.http1.messages import HttpRequest, Response
@@ -49,11 +50,11 @@
     await server.async_start("127.0.0.1:0")
     address = f"127.0.0.1:{server.port}"
     try:
-        busy = await async_connect(address)
+        busy = await async_open_connection(address)
         busy.send(REQUEST)
-        idle = await async_connect(address)
+        idle = await async_open_connection(address)
         await asyncio.sleep(0.05)
-        late = await async_connect(address)
+        late = await async_open_connection(address)
         await asyncio.sleep(0.05)
         assert len(server.connections) == 2
         handler.may_answer.set()
@@ -76,7 +77,7 @@
     address = f"127.0.0.1:{server.port}"
     with structlog.testing.capture_logs() as lines:
         opened = await asyncio.gather(
-            *(async_connect(address) for _ in range(40))
+            *(async_open_connection(address) for _ in range(40))
         )
         await asyncio.sleep(0.1)
     try:
@@ -99,7 +100,7 @@
         handler.async_handle, loop.time, lambda _: refusals.pop(0)
     )
     await server.async_start("127.0.0.1:0")
-    connection = await async_connect(f"127.0.0.1:{server.port}")
+    connection = await async_open_connection(f"127.0.0.1:{server.port}")
     statuses = []
     for _ in range(3):
         answer = await async_exchange(connection, REQUEST, 1000)
