--- a/packages/core/src/lacewingspar_core/admission_events.py
+++ b/packages/core/src/lacewingspar_core/admission_events.py
@@ -1,4 +1,4 @@
-"""What a request needs of an upstream, and the answers to it."""
+"""Admission requests for an upstream and the decisions on them."""
 
 import math
 from dataclasses import dataclass, field
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionKey:
-    """Identity of one wish for an upstream.
+    """Identity of one admission request.
 
     Attributes:
-        holder: Router that has the caller's connection.
-        number: Number that the holder uses once in its life.
+        holder: Ingress router, which has the caller's connection.
+        number: Number that the ingress router instance uses only once.
     """
 
     holder: RouterLife
@@ -23,24 +23,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A request that needs an upstream.
+    """A request for an upstream.
+
+    All times are on the clock of the router that handles the object.
 
     Attributes:
-        key: Identity of the wish.
+        key: Identity of the admission request.
         workspace: Workspace of the caller, or "" for public routes.
-        data_centre: Data centre of the holder.
-        shared_parts: Parts of the prompt that other requests may share.
-        own_tokens: Further tokens of the prompt.
-        output_tokens: Expected tokens of the answer.
-        priority: Rank of the route; 0 is the most urgent.
-        arrived_at: Arrival at the holder, in seconds.
-        aim_at: Time by which the first part of the answer should be there.
-        deadline_at: Time by which the whole answer must be there.
-        identity: Hash that is the same when the caller sends the request
-            again, or 0 if there is none.
+        data_centre: Data centre of the ingress router.
+        shared_parts: Leading parts of the prompt that other requests may share.
+        own_tokens: Remaining tokens of the prompt.
+        output_tokens: Expected tokens of the response.
+        priority: Priority of the route; 0 is the most urgent.
+        arrived_at: Arrival at the ingress router, in seconds.
+        aim_at: Latency target: time by which the first chunk of the response
+            should arrive.
+        deadline_at: Time by which the whole response must arrive.
+        identity: Hash that stays the same when the caller retries the request,
+            or 0 if there is none.
         excluded: Upstreams that must not be used.
-        patience_seconds: Time from the arrival after which the caller gives up
-            if the first part is not there.
+        patience_seconds: Time from the arrival after which the caller
+            disconnects if no chunk has arrived.
         prompt_tokens: Length of the whole prompt in tokens.
     """
 
@@ -61,23 +64,24 @@
 
     @property
     def given_up_at(self) -> float:
-        """Return when the caller gives up without a first part."""
+        """Return the time at which the caller's first-chunk timeout ends."""
         return min(self.deadline_at, self.arrived_at + self.patience_seconds)
 
     def __post_init__(self) -> None:
-        # Needed for each upstream at each decision, so it is kept.
+        # Precomputed: every decision reads it once per upstream.
         shared = sum(part.tokens for part in self.shared_parts)
         object.__setattr__(self, "prompt_tokens", shared + self.own_tokens)
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """A request may be sent.
+    """A decision to send a request to an upstream.
 
     Attributes:
-        key: Identity of the wish.
+        key: Identity of the admission request.
         upstream_id: Upstream to use.
-        fetch_from: Upstream to copy shared parts of the prompt from, or "".
+        fetch_from: Upstream to copy the KV cache of shared prompt parts from,
+            or "".
     """
 
     key: AdmissionKey
@@ -87,10 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """A request waits.
+    """A decision to keep a request in the queue.
 
     Attributes:
-        key: Identity of the wish.
+        key: Identity of the admission request.
         wait_seconds: Expected wait.
     """
 
@@ -100,13 +104,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """A request cannot be served in time.
+    """A decision not to serve a request.
 
     Attributes:
-        key: Identity of the wish.
+        key: Identity of the admission request.
         reason: Machine-readable reason.
-        wait_seconds: Wait that was expected.
-        retry_after_seconds: When to come back.
+        wait_seconds: Expected wait at the time of the decision.
+        retry_after_seconds: Time after which the caller should retry.
     """
 
     key: AdmissionKey
@@ -119,14 +123,14 @@
 
 
 class RunOutcome(IntEnum):
-    """How a granted request ended at its upstream."""
+    """Outcome of a granted request."""
 
     COMPLETED = 0
-    # The upstream answered with a failure of its own, or spoiled the answer.
+    # The upstream returned an error or an invalid response, or stalled.
     FAILED = 1
-    # No connection, or the connection broke without a whole answer.
+    # The connection broke before the response was complete.
     BROKEN = 2
-    # The upstream refused to run the request.
+    # The upstream did not run the request.
     NOT_RUN = 3
-    # The caller has left, or the request was not sent after all.
+    # The caller disconnected, or the request was not sent.
     CANCELLED = 4
--- a/packages/core/src/lacewingspar_core/admission_messages.py
+++ b/packages/core/src/lacewingspar_core/admission_messages.py
@@ -1,4 +1,4 @@
-"""Messages between holders and owners of pools of upstreams."""
+"""Messages between ingress routers and pool owners."""
 
 import msgspec
 
@@ -6,28 +6,28 @@
 
 
 class AdmissionRequest(PeerMessage, frozen=True, tag="adm?"):
-    """Asks the owner of a pool for an upstream.
+    """Requests an upstream from the pool owner.
 
-    Times count from the moment of sending, in milliseconds, so that they need
-    no common clock.
+    Times are in milliseconds relative to the moment of sending, so routers
+    need no common clock.
 
     Attributes:
         service: Service of the pool.
         shard: Shard of the service's upstreams.
-        number: Number of the request, unique in the sender's life.
+        number: Number of the request, unique for the sender's instance.
         workspace: Workspace of the caller, or "".
-        parts: Key and tokens of each shared part of the prompt.
-        own_tokens: Further tokens of the prompt.
-        output_tokens: Expected tokens of the answer.
-        priority: Rank of the route.
+        parts: Key and token count of each shared part of the prompt.
+        own_tokens: Remaining tokens of the prompt.
+        output_tokens: Expected tokens of the response.
+        priority: Priority of the route.
         waited_ms: Time since the request arrived.
-        aim_ms: Time left until the first part should be there; may be
-            negative.
-        deadline_ms: Time left until the whole answer must be there.
-        identity: Hash that is the same when the caller sends the request
-            again, or 0.
+        aim_ms: Time until the latency target of the first chunk; negative if
+            the target has passed.
+        deadline_ms: Time until the deadline of the whole response.
+        identity: Hash that stays the same when the caller retries the request,
+            or 0.
         excluded: Upstreams that must not be used.
-        give_up_ms: Time left until the caller gives up without a first part.
+        give_up_ms: Time until the caller's first-chunk timeout ends.
     """
 
     service: str
@@ -53,7 +53,8 @@
         service: Service of the pool.
         number: Number of the request.
         upstream_id: Upstream to use.
-        fetch_from: Upstream to copy shared parts of the prompt from, or "".
+        fetch_from: Upstream to copy the KV cache of shared prompt parts from,
+            or "".
     """
 
     service: str
@@ -63,7 +64,13 @@
 
 
 class AdmissionQueued(PeerMessage, frozen=True, tag="adm="):
-    """Says that a request waits, and how long, in milliseconds."""
+    """Reports that a request is queued.
+
+    Attributes:
+        service: Service of the pool.
+        number: Number of the request.
+        wait_ms: Expected wait in milliseconds.
+    """
 
     service: str
     number: int
@@ -71,14 +78,15 @@
 
 
 class AdmissionDeclined(PeerMessage, frozen=True, tag="adm-"):
-    """Says that a request cannot be served in time.
+    """Declines a request.
 
     Attributes:
         service: Service of the pool.
         number: Number of the request.
         reason: Machine-readable reason.
         wait_ms: Expected wait in milliseconds.
-        retry_after_ms: When to come back, in milliseconds.
+        retry_after_ms: Time after which the caller should retry, in
+            milliseconds.
     """
 
     service: str
@@ -89,7 +97,7 @@
 
 
 class RunStarted(PeerMessage, frozen=True, tag="run+"):
-    """Says that the first part of an answer has come."""
+    """Reports the arrival of the first chunk of a response."""
 
     service: str
     shard: int
@@ -97,7 +105,7 @@
 
 
 class RunEnded(PeerMessage, frozen=True, tag="run-"):
-    """Says that a request needs its upstream no longer, or never did.
+    """Reports the end of a granted request or withdraws a queued one.
 
     Attributes:
         service: Service of the pool.
@@ -119,10 +127,12 @@
 
     Attributes:
         number: Number of the request.
-        upstream_id: Its upstream.
-        unread_tokens: Prompt tokens that the upstream may still have to read.
-        memory_tokens: Tokens that it takes of the upstream's memory.
-        left_ms: Time that its caller still waits, in milliseconds.
+        upstream_id: Upstream that runs the request.
+        unread_tokens: Prompt tokens that the upstream may still have to
+            prefill (process before it generates the first output token).
+        memory_tokens: Tokens that the request occupies in the KV cache of the
+            upstream.
+        left_ms: Time until the deadline of the request, in milliseconds.
     """
 
     number: int
@@ -133,7 +143,7 @@
 
 
 class RunReport(PeerMessage, frozen=True, tag="runs"):
-    """All runs of the sender in one pool."""
+    """Reports all granted requests of the sender in one pool."""
 
     service: str
     shard: int
--- a/packages/core/src/lacewingspar_core/declined_requests.py
+++ b/packages/core/src/lacewingspar_core/declined_requests.py
@@ -1,50 +1,52 @@
-"""Requests that were declined and may come back."""
+"""Latency targets of declined requests that callers may retry."""
 
 from collections import OrderedDict
 
-# Callers come back within a third of the time that they have, which is some
-# seconds; the longest budgets are a minute.
-REMEMBER_SECONDS = 20.0
-# Bounds the memory; the oldest are forgotten first.
-LARGEST_COUNT = 20_000
+# Callers retry within a third of their remaining time budget, which is a few
+# seconds; the longest budgets are one minute.
+RETENTION_SECONDS = 20.0
+# Bounds the memory use; the oldest entries are evicted first.
+MAX_REQUESTS = 20_000
 
 
-class DeclinedRequests:
-    """Aims of declined requests, by workspace and identity.
+class FirstAttemptTargets:
+    """Latency targets of declined requests by workspace and identity.
 
-    A caller counts the time from its first attempt. A request that comes back
-    is therefore late, although it has just arrived.
+    Callers measure latency from their first attempt, so a retry keeps the
+    target of the first attempt and may be late when it arrives.
     """
 
     def __init__(self) -> None:
-        self._aim_at_by_request: OrderedDict[
+        self._target_by_request: OrderedDict[
             tuple[str, int], tuple[float, float]
         ] = OrderedDict()
 
-    def note(
+    def record(
         self, workspace: str, identity: int, aim_at: float, now: float
     ) -> None:
-        """Remember a declined request and its aim."""
+        """Store the latency target of a declined request."""
         if not identity:
             return
         request = (workspace, identity)
-        known = self._aim_at_by_request.pop(request, None)
+        known = self._target_by_request.pop(request, None)
         if known is not None:
             aim_at = min(aim_at, known[0])
-        self._aim_at_by_request[request] = (aim_at, now)
-        self._forget(now)
-
-    def take(self, workspace: str, identity: int, now: float) -> float | None:
-        """Return the aim of a request that has come back, or None."""
-        self._forget(now)
-        known = self._aim_at_by_request.pop((workspace, identity), None)
+        self._target_by_request[request] = (aim_at, now)
+        self._prune(now)
+
+    def pop_target(
+        self, workspace: str, identity: int, now: float
+    ) -> float | None:
+        """Remove and return the target of a retried request, or None."""
+        self._prune(now)
+        known = self._target_by_request.pop((workspace, identity), None)
         return None if known is None else known[0]
 
-    def _forget(self, now: float) -> None:
-        requests = self._aim_at_by_request
+    def _prune(self, now: float) -> None:
+        requests = self._target_by_request
         while requests:
-            _, noted_at = next(iter(requests.values()))
-            is_old = noted_at < now - REMEMBER_SECONDS
-            if not is_old and len(requests) <= LARGEST_COUNT:
+            _, declined_at = next(iter(requests.values()))
+            is_old = declined_at < now - RETENTION_SECONDS
+            if not is_old and len(requests) <= MAX_REQUESTS:
                 return
             requests.popitem(last=False)
--- a/packages/core/src/lacewingspar_core/entry_limit.py
+++ b/packages/core/src/lacewingspar_core/entry_limit.py
@@ -1,51 +1,51 @@
-"""How many requests of callers one router works on at once.
+"""Adaptive limit of the requests that a router handles concurrently.
 
-Load that this answers: the connections of a large workspace all lead to one
-entry VM and bring more requests than its processor can forward. Without a
-limit each of them is served too late, and new connections wait unread.
+All connections of a large workspace may lead to one entry VM and bring more
+requests than its CPU can forward. Without a limit every request is late and new
+connections are not accepted.
 """
 
 from collections import Counter
 
-# An event loop that is this late delays the requests that it has too much; a
-# request waits for several rounds, and the shortest aims in use are 0.125 s.
-DELAY_LIMIT_SECONDS = 0.05
-# One late round of the loop may have another cause, such as a large
-# configuration.
-LATE_SAMPLES = 2
-# A delay of this many times the limit counts at once. A loop that takes seconds
-# for one round is measured only once in these seconds.
+# Delay of the event loop above which it counts as overloaded. A request waits
+# for several iterations, and the shortest latency targets in use are 0.125 s.
+MAX_LOOP_DELAY_SECONDS = 0.05
+# Consecutive late samples before the limit falls. A single one may have another
+# cause, such as loading a large configuration.
+LATE_SAMPLES_BEFORE_DECREASE = 2
+# A delay of this many times the maximum lowers the limit at once: a loop that
+# needs seconds for one iteration yields only one sample in this time.
 VERY_LATE_FACTOR = 5.0
-# Part of the requests under way that stays after a late sample, at most and at
-# least. In between it falls as the delay grows.
-LARGEST_DECREASE_FACTOR = 0.8
-LEAST_DECREASE_FACTOR = 0.1
-# Requests, and part of the limit, by which it grows after each sample that is
-# not late; it doubles in less than a second. It grows only while at least half
-# of it is used, so that it is still near the load when a burst comes.
-INCREASE = 4
+# Bounds of the fraction of the in-flight requests that the limit is reduced to.
+# Between the bounds, the fraction falls as the delay grows.
+MAX_RETAINED_FRACTION = 0.8
+MIN_RETAINED_FRACTION = 0.1
+# Growth of the limit after each sample that is not late: the larger of a number
+# of requests and a fraction of the limit, which doubles it in less than a
+# second. It grows only while a minimum fraction of it is in use, so that it is
+# close to the load when a burst arrives.
+MIN_INCREASE_REQUESTS = 4
 INCREASE_FRACTION = 0.1
-USED_FRACTION = 0.5
-# A router works on at least this many requests, however slow it is.
+MIN_USED_FRACTION = 0.5
+# Lower bound of the limit, however slow the router is.
 LEAST_LIMIT = 8
-# Requests under way that one processor certainly forwards: half of the 530
-# requests a second of docs/proof.md, of one second each. It is the limit before
-# the load has shown how many more there may be.
+# Initial limit per CPU core: half of the 530 requests per second that
+# docs/proof.md records for one core, with a duration of one second each.
 REQUESTS_PER_PROCESSOR = 265
 
 
 class EntryLimit:
-    """Limit that falls while the event loop is late, and grows otherwise.
+    """Concurrency limit that adapts to the delay of the event loop.
 
-    The requests under way are shared by the workspaces that have some: a
-    workspace is refused only beyond its even share of the limit.
+    The limit falls while the event loop is late and grows otherwise. When it is
+    reached, a workspace is refused only beyond its equal share.
 
     Attributes:
-        limit: Requests that may be under way.
-        active: Requests under way.
+        limit: Maximum number of in-flight requests.
+        active: Number of in-flight requests.
 
     Args:
-        processors: Processor time that the router may use, in cores.
+        processors: CPU time available to the router, in cores.
     """
 
     def __init__(self, processors: float = 1.0) -> None:
@@ -53,39 +53,44 @@
             LEAST_LIMIT, round(REQUESTS_PER_PROCESSOR * processors)
         )
         self.active = 0
-        self._largest_active = 0
+        self._peak_active = 0
         self._late_samples = 0
         self._active_by_workspace: Counter[str] = Counter()
 
     def note_delay(self, seconds: float) -> None:
-        """Take over how late the event loop was.
+        """Adapt the limit to the measured delay of the event loop.
 
         Args:
-            seconds: Delay of a timer, measured some ten times a second.
+            seconds: Delay of a timer, measured about ten times a second.
         """
-        largest_active, self._largest_active = self._largest_active, self.active
-        if seconds <= DELAY_LIMIT_SECONDS:
+        peak_active, self._peak_active = self._peak_active, self.active
+        if seconds <= MAX_LOOP_DELAY_SECONDS:
             self._late_samples = 0
-            if largest_active >= USED_FRACTION * self.limit:
-                self.limit += max(INCREASE, int(INCREASE_FRACTION * self.limit))
+            if peak_active >= MIN_USED_FRACTION * self.limit:
+                self.limit += max(
+                    MIN_INCREASE_REQUESTS, int(INCREASE_FRACTION * self.limit)
+                )
             return
         self._late_samples += 1
-        lateness = seconds / DELAY_LIMIT_SECONDS
-        if self._late_samples < LATE_SAMPLES and lateness < VERY_LATE_FACTOR:
+        lateness = seconds / MAX_LOOP_DELAY_SECONDS
+        if (
+            self._late_samples < LATE_SAMPLES_BEFORE_DECREASE
+            and lateness < VERY_LATE_FACTOR
+        ):
             return
         factor = min(
-            LARGEST_DECREASE_FACTOR, max(LEAST_DECREASE_FACTOR, 2 / lateness)
+            MAX_RETAINED_FRACTION, max(MIN_RETAINED_FRACTION, 2 / lateness)
         )
-        present = min(self.limit, self.active)
-        self.limit = max(LEAST_LIMIT, int(factor * present))
+        used = min(self.limit, self.active)
+        self.limit = max(LEAST_LIMIT, int(factor * used))
 
     @property
     def is_full(self) -> bool:
-        """Return whether as many requests are under way as may be."""
+        """Return whether the limit is reached."""
         return self.active >= self.limit
 
     def has_room(self, workspace: str) -> bool:
-        """Return whether a request of a workspace may be worked on."""
+        """Return whether a request of a workspace may be accepted."""
         if not self.is_full:
             return True
         own = self._active_by_workspace.get(workspace, 0)
@@ -93,16 +98,16 @@
         return own < self.limit / workspaces
 
     def begin(self, workspace: str) -> bool:
-        """Return whether a request may be worked on, and count it if so."""
+        """Count a request if it may be accepted, and return whether it may."""
         if not self.has_room(workspace):
             return False
         self._active_by_workspace[workspace] += 1
         self.active += 1
-        self._largest_active = max(self._largest_active, self.active)
+        self._peak_active = max(self._peak_active, self.active)
         return True
 
     def end(self, workspace: str) -> None:
-        """Take over that a request has ended."""
+        """Release the place of a request that has ended."""
         self.active -= 1
         self._active_by_workspace[workspace] -= 1
         if not self._active_by_workspace[workspace]:
--- a/packages/core/src/lacewingspar_core/fair_queue.py
+++ b/packages/core/src/lacewingspar_core/fair_queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests of one pool of upstreams, shared fairly by workspace."""
+"""Fair queue of the waiting requests of one pool."""
 
 import heapq
 from collections.abc import Iterator
@@ -7,17 +7,17 @@
 
 
 class FairQueue:
-    """Start-time fair queueing over workspaces.
+    """Start-time fair queue over workspaces.
 
-    Each workspace has a start tag, the service that it has received on a
-    common scale of virtual time. The one with the lowest tag goes first. A
-    workspace without waiting requests keeps no credit: its tag is raised to
-    the virtual time when it comes back.
+    Each workspace has a start tag: the service that it has received, on a
+    common scale of virtual time. The workspace with the lowest tag goes first.
+    An idle workspace earns no credit: its tag is raised to the virtual time
+    when it becomes active again.
 
-    Within a workspace the requests that can still be in time go first, then
-    the rank of the route, then the time by which the first part of the answer
-    is due. Without the first rule a queue that is a little too long makes
-    everybody a little late.
+    Within a workspace, requests that can still meet their due time go first,
+    then those of routes with a higher priority, then those that are due
+    earlier. Without the first rule, a slightly overlong queue makes every
+    request slightly late.
     """
 
     def __init__(self) -> None:
@@ -41,36 +41,40 @@
             yield from waiting.values()
 
     @property
-    def cost(self) -> float:
+    def total_cost(self) -> float:
         """Return the cost of all waiting requests."""
         return sum(self._cost_by_workspace.values())
 
     @property
-    def workspaces(self) -> int:
+    def workspace_count(self) -> int:
         """Return the number of workspaces with waiting requests."""
         return len(self._waiting_by_workspace)
 
-    def cost_of(self, workspace: str) -> float:
+    def workspace_cost(self, workspace: str) -> float:
         """Return the cost of a workspace's waiting requests."""
         return self._cost_by_workspace.get(workspace, 0.0)
 
-    def cost_before(
-        self, admission: Admission, due_at: float, in_time_from: float
+    def cost_ahead(
+        self,
+        admission: Admission,
+        due_at: float,
+        earliest_first_chunk_at: float,
     ) -> float:
-        """Return the cost of what goes before in the same workspace.
+        """Return the cost of the requests ahead in the same workspace.
 
         Args:
             admission: The request, which need not be queued.
-            due_at: Time by which its first part is due.
-            in_time_from: Earliest first part of a request that is sent now.
+            due_at: Time by which its first chunk is due.
+            earliest_first_chunk_at: Earliest time of the first chunk of a
+                request that is sent now.
         """
-        urgency = _urgency(admission, due_at, in_time_from)
+        urgency = _urgency(admission, due_at, earliest_first_chunk_at)
         waiting = self._waiting_by_workspace.get(admission.workspace, {})
         return sum(
             self._cost_by_key[other.key]
             for other in waiting.values()
             if other.key != admission.key
-            and self._urgency(other, in_time_from) <= urgency
+            and self._urgency(other, earliest_first_chunk_at) <= urgency
         )
 
     def add(self, admission: Admission, cost: float, due_at: float) -> None:
@@ -78,19 +82,19 @@
 
         Args:
             admission: The request.
-            cost: Its cost in units of the pool's rate.
-            due_at: Time by which its first part is due.
+            cost: Its cost: prompt tokens of an engine, or calls.
+            due_at: Time by which its first chunk is due.
         """
         self._due_at_by_key[admission.key] = due_at
         waiting = self._waiting_by_workspace.setdefault(admission.workspace, {})
         waiting[admission.key] = admission
         self._cost_by_key[admission.key] = cost
         self._cost_by_workspace[admission.workspace] = (
-            self.cost_of(admission.workspace) + cost
+            self.workspace_cost(admission.workspace) + cost
         )
 
     def remove(self, admission: Admission) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         workspace = admission.workspace
         waiting = self._waiting_by_workspace[workspace]
         del waiting[admission.key]
@@ -103,39 +107,42 @@
             del self._cost_by_workspace[workspace]
 
     def find(self, key: AdmissionKey) -> Admission | None:
-        """Return a waiting request."""
+        """Return the waiting request with a key, or None."""
         for waiting in self._waiting_by_workspace.values():
             if key in waiting:
                 return waiting[key]
         return None
 
     def due_at(self, key: AdmissionKey) -> float:
-        """Return the time by which a waiting request's first part is due."""
+        """Return the time by which a request's first chunk is due."""
         return self._due_at_by_key[key]
 
-    def in_turn(self) -> list[str]:
-        """Return the waiting workspaces, the next one first."""
+    def workspaces_in_order(self) -> list[str]:
+        """Return the workspaces with waiting requests in scheduling order."""
         return sorted(self._waiting_by_workspace, key=self._start_tag)
 
     def most_urgent(
-        self, workspace: str, count: int, in_time_from: float
+        self, workspace: str, count: int, earliest_first_chunk_at: float
     ) -> list[Admission]:
         """Return the next requests of a workspace, the most urgent first.
 
         Args:
             workspace: The workspace.
-            count: Largest number of requests.
-            in_time_from: Earliest first part of a request that is sent now.
+            count: Maximum number of requests.
+            earliest_first_chunk_at: Earliest time of the first chunk of a
+                request that is sent now.
         """
         waiting = self._waiting_by_workspace.get(workspace, {})
         return heapq.nsmallest(
             count,
             waiting.values(),
-            key=lambda admission: self._urgency(admission, in_time_from),
+            key=lambda admission: self._urgency(
+                admission, earliest_first_chunk_at
+            ),
         )
 
     def charge(self, workspace: str, cost: float) -> None:
-        """Account for service that a workspace gets now."""
+        """Charge the cost of a granted request to a workspace."""
         start = self._start_tag(workspace)
         self._finish_by_workspace[workspace] = start + cost
         self._virtual_time = max(
@@ -145,21 +152,21 @@
                 default=start,
             ),
         )
-        if len(self._finish_by_workspace) > 2 * self.workspaces + 64:
-            self._forget_idle()
+        if len(self._finish_by_workspace) > 2 * self.workspace_count + 64:
+            self._prune_tags()
 
     def _urgency(
-        self, admission: Admission, in_time_from: float
+        self, admission: Admission, earliest_first_chunk_at: float
     ) -> tuple[bool, int, float]:
         due_at = self._due_at_by_key[admission.key]
-        return _urgency(admission, due_at, in_time_from)
+        return _urgency(admission, due_at, earliest_first_chunk_at)
 
     def _start_tag(self, workspace: str) -> float:
         finish = self._finish_by_workspace.get(workspace, 0.0)
         return max(finish, self._virtual_time)
 
-    def _forget_idle(self) -> None:
-        """Forget tags that the virtual time has passed."""
+    def _prune_tags(self) -> None:
+        """Remove finish tags that the virtual time has passed."""
         self._finish_by_workspace = {
             name: finish
             for name, finish in self._finish_by_workspace.items()
@@ -168,7 +175,7 @@
 
 
 def _urgency(
-    admission: Admission, due_at: float, in_time_from: float
+    admission: Admission, due_at: float, earliest_first_chunk_at: float
 ) -> tuple[bool, int, float]:
-    """Return a key by which the most urgent request sorts first."""
-    return (due_at < in_time_from, admission.priority, due_at)
+    """Return a sort key that puts the most urgent request first."""
+    return (due_at < earliest_first_chunk_at, admission.priority, due_at)
--- a/packages/core/src/lacewingspar_core/hand_over.py
+++ b/packages/core/src/lacewingspar_core/hand_over.py
@@ -1,9 +1,9 @@
-"""Which requests an entry VM hands over to its neighbours, and to which.
+"""Hand-over of requests from an overloaded entry VM to its neighbours.
 
-Load that this answers: the platform's balancer sends the connections of a large
-workspace to one entry VM or to few, so that one processor sets the share of the
-workspace while those of the other VMs idle. To pass the bytes of a request and
-its answer on takes a fraction of what it takes to forward the request.
+The platform's load balancer may send all connections of a large workspace to
+one entry VM or a few, whose CPUs then limit the workspace while other VMs idle.
+Relaying the bytes of a request and its response takes a fraction of the CPU
+time of forwarding the request to an upstream.
 """
 
 import math
@@ -14,55 +14,54 @@
 from lacewingspar_core.messages import MemberRecord, RouterState
 from lacewingspar_core.ownership import capable_routers
 
-# Delay of the event loop above which more requests are handed over. It is well
-# below the delay at which requests are refused, so that none is refused while
-# neighbours have room.
-LATE_SECONDS = 0.02
-# Delay below which fewer are handed over.
-IN_TIME_SECONDS = 0.01
-# Change of the part that is handed over, for each of some ten samples a second.
-# All are handed over after half a second, and none after ten.
-INCREASE = 0.2
-DECREASE = 0.01
-# A router that hands over this part of its requests takes none of others.
+# Event loop delay above which the share grows. It is well below the delay at
+# which requests are refused, so none is refused while neighbours have room.
+HIGH_DELAY_SECONDS = 0.02
+# Event loop delay below which the share falls.
+LOW_DELAY_SECONDS = 0.01
+# Change of the share per sample, with about ten samples per second. It grows
+# from none to all in half a second and falls back in ten.
+SHARE_INCREASE = 0.2
+SHARE_DECREASE = 0.01
+# A router that hands over at least this share accepts no requests from others.
 BUSY_SHARE = 0.1
-# A neighbour that has failed or refused is left out for this long.
-SKIP_SECONDS = 1.0
+# A neighbour that failed or refused a request is excluded for this long.
+EXCLUSION_SECONDS = 1.0
 
 
 class HandOverShare:
-    """Part of the new requests that is handed over.
+    """Decides which new requests are handed over.
 
     Attributes:
-        share: The part, from 0 to 1.
+        share: Share of the new requests that is handed over, from 0 to 1.
     """
 
     def __init__(self) -> None:
         self.share = 0.0
-        self._owed = 0.0
+        self._credit = 0.0
 
     def note_delay(self, seconds: float) -> None:
-        """Take over how late the event loop was.
+        """Adapt the share to the measured delay of the event loop.
 
         Args:
-            seconds: Delay of a timer, measured some ten times a second.
+            seconds: Delay of a timer, measured about ten times a second.
         """
-        if seconds > LATE_SECONDS:
-            self.share = min(1.0, round(self.share + INCREASE, 2))
-        elif seconds < IN_TIME_SECONDS:
-            self.share = max(0.0, round(self.share - DECREASE, 2))
+        if seconds > HIGH_DELAY_SECONDS:
+            self.share = min(1.0, round(self.share + SHARE_INCREASE, 2))
+        elif seconds < LOW_DELAY_SECONDS:
+            self.share = max(0.0, round(self.share - SHARE_DECREASE, 2))
 
     @property
     def is_busy(self) -> bool:
-        """Return whether this router needs help itself."""
+        """Return whether this router is too busy to accept hand-overs."""
         return self.share >= BUSY_SHARE
 
     def take_next(self) -> bool:
-        """Return whether the next request is to be handed over."""
-        self._owed += self.share
-        if self._owed < 1.0:
+        """Return whether to hand over the next request, and count it."""
+        self._credit += self.share
+        if self._credit < 1.0:
             return False
-        self._owed -= 1.0
+        self._credit -= 1.0
         return True
 
 
@@ -71,8 +70,8 @@
     """A router that requests may be handed over to.
 
     Attributes:
-        router_id: Its name.
-        address: Its `host:port` for callers.
+        router_id: ID of the router.
+        address: Address for callers as `host:port`.
     """
 
     router_id: str
@@ -82,15 +81,15 @@
 def helpful_neighbours(
     own_id: str, data_centre: str, records: Mapping[str, MemberRecord]
 ) -> list[Neighbour]:
-    """Return the routers of a data centre that may take requests over.
+    """Return the routers of a data centre that may accept hand-overs.
 
-    Those that own pools decide for the whole fleet, so they help only where
-    there are no others.
+    Routers that may own pools decide for the whole fleet, so they are returned
+    only if there are no others.
 
     Args:
-        own_id: Router that hands over.
-        data_centre: Its data centre.
-        records: Routers that are alive, by id.
+        own_id: ID of the router that hands over.
+        data_centre: Data centre of this router.
+        records: Live routers by ID.
     """
     owners = set(
         capable_routers(
@@ -113,48 +112,48 @@
 
 
 class NeighbourLoads:
-    """Requests under way at each neighbour, and neighbours that have failed.
+    """Tracks in-flight hand-overs and excluded neighbours.
 
     Args:
-        most: Requests at all neighbours beyond which none is handed over.
+        most: Maximum number of in-flight hand-overs to all neighbours.
     """
 
     def __init__(self, most: float = math.inf) -> None:
         self._most = most
-        self._under_way_by_id: Counter[str] = Counter()
-        self._skipped_until_by_id: dict[str, float] = {}
+        self._in_flight_by_id: Counter[str] = Counter()
+        self._excluded_until_by_id: dict[str, float] = {}
 
     def choose(
         self, neighbours: Iterable[Neighbour], now: float
     ) -> Neighbour | None:
-        """Return the neighbour with the fewest requests, or None."""
+        """Return the least loaded neighbour, or None if there is none."""
         if self.under_way >= self._most:
             return None
         return min(
             (
                 item
                 for item in neighbours
-                if now >= self._skipped_until_by_id.get(item.router_id, 0.0)
+                if now >= self._excluded_until_by_id.get(item.router_id, 0.0)
             ),
-            key=lambda item: self._under_way_by_id[item.router_id],
+            key=lambda item: self._in_flight_by_id[item.router_id],
             default=None,
         )
 
     def begin(self, router_id: str) -> None:
-        """Count a request that is handed over."""
-        self._under_way_by_id[router_id] += 1
+        """Count a hand-over to a neighbour."""
+        self._in_flight_by_id[router_id] += 1
 
     def end(self, router_id: str) -> None:
-        """Take over that a request has ended."""
-        self._under_way_by_id[router_id] -= 1
-        if not self._under_way_by_id[router_id]:
-            del self._under_way_by_id[router_id]
+        """Remove a hand-over that has ended."""
+        self._in_flight_by_id[router_id] -= 1
+        if not self._in_flight_by_id[router_id]:
+            del self._in_flight_by_id[router_id]
 
     def skip(self, router_id: str, now: float) -> None:
-        """Leave a neighbour out for a while."""
-        self._skipped_until_by_id[router_id] = now + SKIP_SECONDS
+        """Exclude a neighbour from the choice for a while."""
+        self._excluded_until_by_id[router_id] = now + EXCLUSION_SECONDS
 
     @property
     def under_way(self) -> int:
-        """Return the number of requests at all neighbours."""
-        return self._under_way_by_id.total()
+        """Return the number of in-flight hand-overs to all neighbours."""
+        return self._in_flight_by_id.total()
--- a/packages/core/src/lacewingspar_core/linear_fit.py
+++ b/packages/core/src/lacewingspar_core/linear_fit.py
@@ -1,8 +1,8 @@
-"""Straight line through measurements, with the older ones fading out."""
+"""Linear regression with exponentially decaying weights."""
 
 from dataclasses import dataclass
 
-# Weight that older measurements keep at each new one: a mean age of 50.
+# Factor on the weights of older samples at each new one: a mean age of 50.
 DEFAULT_RETENTION = 0.98
 
 
@@ -11,10 +11,11 @@
     """Least-squares fit of `y = intercept + slope * x`.
 
     Attributes:
-        slope: Slope before anything was measured, then the fitted one.
-        intercept: The same for the intercept.
-        prior_weight: Measurements that the first slope counts for.
-        prior_x: Value of `x` at which the first slope was taken.
+        slope: Initial slope, then the fitted one.
+        intercept: Initial intercept, then the fitted one.
+        prior_weight: Number of samples that each point of the initial line
+            counts for.
+        prior_x: Value of `x` of the second point on the initial line.
     """
 
     slope: float
@@ -28,12 +29,12 @@
     _sum_xy: float = 0.0
 
     def __post_init__(self) -> None:
-        # Two points of the first line stand for what is known beforehand.
+        # Two points on the initial line serve as prior samples.
         for x in (0.0, self.prior_x):
             self._sum(x, self.intercept + self.slope * x, self.prior_weight)
 
     def add(self, x: float, y: float) -> None:
-        """Add a measurement and update the line."""
+        """Add a sample and update the line."""
         for name in ("_weight", "_sum_x", "_sum_y", "_sum_xx", "_sum_xy"):
             setattr(self, name, getattr(self, name) * DEFAULT_RETENTION)
         self._sum(x, y, 1.0)
@@ -47,7 +48,7 @@
         self.intercept = max(0.0, mean_y - self.slope * mean_x)
 
     def at(self, x: float) -> float:
-        """Return the expected value at a point."""
+        """Return the value of the line at `x`."""
         return self.intercept + self.slope * x
 
     def _sum(self, x: float, y: float, weight: float) -> None:
--- a/packages/core/src/lacewingspar_core/placement.py
+++ b/packages/core/src/lacewingspar_core/placement.py
@@ -1,7 +1,7 @@
-"""Which upstream of a pool suits a request best.
+"""Selection of the best upstream of a pool for a request.
 
-Load that this answers: prompts that share long parts, more of them than one
-engine keeps, beside prompts without any.
+Designed for a mix of prompts without shared parts and prompts with long shared
+parts, more of which are in use than fit into the KV cache of one engine.
 """
 
 from collections.abc import Collection, Mapping
@@ -16,31 +16,32 @@
     EngineLoad,
     PlainLoad,
     UpstreamLoad,
-    held_prefix_tokens,
+    cached_prefix_tokens,
 )
-from lacewingspar_core.upstream_trust import UpstreamTrust
+from lacewingspar_core.upstream_trust import CircuitBreaker
 
-# Reading a shared part again costs time now and pushes other parts out of
-# memory, which are then read again as well.
-REREAD_WEIGHT = 4.0
-# Part of the aim that a request waits for the engine that suits it best
+# Weight of the time to prefill uncached shared parts. It is above 1 because the
+# prefill also evicts other parts, which then have to be prefilled again.
+REPEATED_PREFILL_WEIGHT = 4.0
+# Fraction of the latency target for which a request waits for its best upstream
 # before it takes another one with room.
-PATIENCE_FRACTION = 0.4
-# Expected time that a use in another data centre must save.
-CROSS_DATA_CENTRE_SECONDS = 0.004
-# Credit, in tokens, of the engine that a prompt falls to by hash. Owners that
-# follow each other then send the same prompts to the same engines.
-HOME_CREDIT_FRACTION = 0.5
-# Shared parts whose home is remembered.
-LARGEST_HOME_CACHE = 4096
-# After a request found no room it is compared only with upstreams whose load
-# has changed since, and with all of them again after this long. That bounds
-# the processor time of a decision.
-REJECTION_SECONDS = 0.05
-# Waiting requests for which that is remembered.
-LARGEST_REJECTION_CACHE = 4096
-
-_SCORE = itemgetter(0)
+BEST_UPSTREAM_WAIT_FRACTION = 0.4
+# Expected time that an upstream in another data centre must save.
+CROSS_DATA_CENTRE_PENALTY_SECONDS = 0.004
+# Fraction of the uncached shared tokens that count as cached at the affinity
+# upstream, which is chosen by hash. It makes a new pool owner send the same
+# prompts to the same engines as its predecessor.
+AFFINITY_CREDIT_FRACTION = 0.5
+# Maximum number of shared parts with a cached affinity upstream.
+MAX_AFFINITY_CACHE_ENTRIES = 4096
+# For this long after no upstream had room for a request, only the best one and
+# those whose load has changed since are assessed again. It bounds the CPU time
+# of a decision.
+REJECTION_CACHE_SECONDS = 0.05
+# Maximum number of queued requests with a cached rejection.
+MAX_REJECTION_CACHE_ENTRIES = 4096
+
+_BY_SCORE = itemgetter(0)
 
 
 @dataclass(slots=True, eq=False)
@@ -48,51 +49,51 @@
     """One upstream of the pool.
 
     Attributes:
-        entry: What it reports about itself.
-        load: What runs on it.
-        trust: Whether it is believed to work.
-        changed: Number of the last change of its load.
+        entry: Directory entry of the upstream.
+        load: Its current load.
+        breaker: Circuit breaker that blocks it after failures.
+        load_version: Version of the pool's load at its last change.
     """
 
     entry: UpstreamEntry
     load: UpstreamLoad
-    trust: UpstreamTrust
-    changed: int = 0
+    breaker: CircuitBreaker
+    load_version: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class _Rejection:
-    """A request found no upstream with room.
+    """Cached result for a request that found no upstream with room.
 
     Attributes:
-        best: The upstream that suited it best.
-        is_patient: Whether it waited for that one.
-        changes: Changes of load that were known then.
-        until: Time until which that is remembered.
+        best: Upstream with the best score.
+        waits_for_best: Whether the request was waiting for this upstream only.
+        load_version: Version of the pool's load at the decision.
+        until: Time at which the cached result expires.
     """
 
     best: PoolMember
-    is_patient: bool
-    changes: int
+    waits_for_best: bool
+    load_version: int
     until: float
 
 
 class Placement:
-    """Upstreams of a pool, and the choice among them.
+    """Chooses among the upstreams of a pool.
 
     Attributes:
-        member_by_id: The upstreams that take new work.
+        member_by_id: Upstreams that accept new requests.
 
     Args:
-        pool: Name of the pool, which seeds the choice of homes.
+        pool: Name of the pool, which seeds the hash for affinity upstreams.
     """
 
     def __init__(self, pool: str) -> None:
         self._pool = pool
         self.member_by_id: dict[str, PoolMember] = {}
-        self._home_by_part: dict[int, str] = {}
+        self._affinity_id_by_part_key: dict[int, str] = {}
         self._rejection_by_key: dict[AdmissionKey, _Rejection] = {}
-        self._changes = 0
+        self._load_version = 0
 
     def update(
         self,
@@ -100,50 +101,54 @@
         service: UpstreamService,
         engine_tokens_per_second: float,
     ) -> list[PoolMember]:
-        """Take over the upstreams that take new work.
+        """Replace the upstreams that accept new requests.
 
         Args:
-            entry_by_id: The upstreams.
-            service: The service that they belong to.
-            engine_tokens_per_second: Estimated rate of one engine, or 0.
+            entry_by_id: Upstreams that accept new requests.
+            service: Service that the upstreams belong to.
+            engine_tokens_per_second: Estimated prefill rate of one engine, or 0
+                if there is no estimate.
 
         Returns:
-            Those that have left.
+            Upstreams that were removed.
         """
         members = self.member_by_id
         if members.keys() != entry_by_id.keys():
-            self._home_by_part.clear()
+            self._affinity_id_by_part_key.clear()
             self._rejection_by_key.clear()
-        left = [
+        removed = [
             members.pop(name) for name in members.keys() - entry_by_id.keys()
         ]
         for upstream_id, entry in entry_by_id.items():
             known = members.get(upstream_id)
             if known is None:
                 load = _new_load(entry, service, engine_tokens_per_second)
-                members[upstream_id] = PoolMember(entry, load, UpstreamTrust())
+                members[upstream_id] = PoolMember(entry, load, CircuitBreaker())
                 continue
             if known.entry.born_ms != entry.born_ms:
-                known.load.forget_memory()
-                known.trust = UpstreamTrust()
+                known.load.clear_cache()
+                known.breaker = CircuitBreaker()
             known.entry = entry
-        return left
+        return removed
 
-    def open_members(self, now: float) -> list[PoolMember]:
-        """Return the upstreams that take requests now."""
-        members = _trusted(self.member_by_id.values(), now)
-        return [item for item in members if item.load.is_open]
+    def available_members(self, now: float) -> list[PoolMember]:
+        """Return the upstreams that can accept a request now."""
+        members = _unblocked(self.member_by_id.values(), now)
+        return [item for item in members if item.load.is_available]
 
     @property
-    def lead_seconds(self) -> float:
-        """Return the shortest time to the first part of a small request."""
+    def min_first_chunk_seconds(self) -> float:
+        """Return the shortest time to the first chunk of a small request."""
         return min(
-            (item.load.lead_seconds for item in self.member_by_id.values()),
+            (
+                item.load.min_first_chunk_seconds
+                for item in self.member_by_id.values()
+            ),
             default=0.0,
         )
 
     def candidates(self, admission: Admission, now: float) -> list[PoolMember]:
-        """Return the upstreams that a request may use."""
+        """Return the upstreams that a request may use, with or without room."""
         members: Collection[PoolMember] = self.member_by_id.values()
         if admission.excluded:
             members = [
@@ -151,171 +156,182 @@
                 for upstream_id, member in self.member_by_id.items()
                 if upstream_id not in admission.excluded
             ]
-        return _trusted(members, now)
+        return _unblocked(members, now)
 
     def choose(
-        self, admission: Admission, open_members: list[PoolMember], now: float
+        self,
+        admission: Admission,
+        available_members: list[PoolMember],
+        now: float,
     ) -> PoolMember | None:
         """Return the upstream for a request, or None if it should wait.
 
         Args:
             admission: The request.
-            open_members: The upstreams that take requests now.
+            available_members: Upstreams that can accept a request now.
             now: Time in seconds.
         """
         if admission.excluded:
-            open_members = [
+            available_members = [
                 member
                 for member in self.candidates(admission, now)
-                if member.load.is_open
+                if member.load.is_available
             ]
-        if not open_members:
+        if not available_members:
             return None
-        aim = max(0.0, admission.aim_at - admission.arrived_at)
-        is_patient = now - admission.arrived_at < PATIENCE_FRACTION * aim
+        target = max(0.0, admission.aim_at - admission.arrived_at)
+        waits_for_best = (
+            now - admission.arrived_at < BEST_UPSTREAM_WAIT_FRACTION * target
+        )
         rejection = self._rejection_by_key.get(admission.key)
         if (
             rejection is None
             or now >= rejection.until
-            or is_patient != rejection.is_patient
+            or waits_for_best != rejection.waits_for_best
         ):
-            if is_patient:
-                open_members = self.candidates(admission, now)
-            return self._choose_among(admission, open_members, is_patient, now)
+            if waits_for_best:
+                available_members = self.candidates(admission, now)
+            return self._choose_among(
+                admission, available_members, waits_for_best, now
+            )
         changed = [
             member
-            for member in open_members
-            if member.changed > rejection.changes
+            for member in available_members
+            if member.load_version > rejection.load_version
         ]
         if not changed:
             return None
-        if is_patient and rejection.best not in changed:
+        if waits_for_best and rejection.best not in changed:
             changed.append(rejection.best)
-        return self._choose_among(admission, changed, is_patient, now)
+        return self._choose_among(admission, changed, waits_for_best, now)
 
-    def note_change(self, member: PoolMember) -> None:
-        """Take over that the load of an upstream has changed."""
-        self._changes += 1
-        member.changed = self._changes
+    def record_load_change(self, member: PoolMember) -> None:
+        """Record that the load of an upstream has changed."""
+        self._load_version += 1
+        member.load_version = self._load_version
 
     def _choose_among(
         self,
         admission: Admission,
         members: list[PoolMember],
-        is_patient: bool,
+        waits_for_best: bool,
         now: float,
     ) -> PoolMember | None:
-        """Return the upstream for a request, and remember if there is none.
+        """Return the upstream for a request, or cache that none has room.
 
-        A patient request waits for the upstream that suits it best; others
-        take the best of those that have room.
+        A request that waits for its best upstream takes no other; the others
+        take the best upstream that has room.
         """
-        scored = self._scored(admission, members)
-        _, best, has_room = min(scored, key=_SCORE)
+        scored = self._score_members(admission, members)
+        _, best, has_room = min(scored, key=_BY_SCORE)
         if has_room:
             return best
-        with_room = [] if is_patient else [item for item in scored if item[2]]
+        with_room = (
+            [] if waits_for_best else [item for item in scored if item[2]]
+        )
         if with_room:
-            return min(with_room, key=_SCORE)[1]
+            return min(with_room, key=_BY_SCORE)[1]
         key = admission.key
         known = self._rejection_by_key.get(key)
-        until = now + REJECTION_SECONDS
+        until = now + REJECTION_CACHE_SECONDS
         if known is not None and now < known.until:
             until = known.until
-        elif len(self._rejection_by_key) >= LARGEST_REJECTION_CACHE:
+        elif len(self._rejection_by_key) >= MAX_REJECTION_CACHE_ENTRIES:
             self._rejection_by_key.clear()
         self._rejection_by_key[key] = _Rejection(
-            best, is_patient, self._changes, until
+            best, waits_for_best, self._load_version, until
         )
         return None
 
-    def _scored(
+    def _score_members(
         self, admission: Admission, members: list[PoolMember]
     ) -> list[tuple[float, PoolMember, bool]]:
         """Return the score of each upstream and whether it has room.
 
-        The score is the expected time to the first part, with what the choice
-        costs others; the lowest is the best.
+        The score is the expected time to the first chunk plus penalties for
+        another data centre and for repeated prefill; the lowest is the best.
         """
-        home = self._home(admission, members)
+        affinity = self._affinity_member(admission, members)
         data_centre = admission.data_centre
         shared = admission.prompt_tokens - admission.own_tokens
         scored: list[tuple[float, PoolMember, bool]] = []
         for member in members:
-            score, held, has_room = member.load.assess(admission)
+            score, cached, has_room = member.load.assess(admission)
             if member.entry.data_centre != data_centre:
-                score += CROSS_DATA_CENTRE_SECONDS
+                score += CROSS_DATA_CENTRE_PENALTY_SECONDS
             if shared:
-                if member is home:
-                    held += int((shared - held) * HOME_CREDIT_FRACTION)
+                if member is affinity:
+                    cached += int((shared - cached) * AFFINITY_CREDIT_FRACTION)
                 score += (
-                    (REREAD_WEIGHT - 1) * (shared - held) / member.load.rate
+                    (REPEATED_PREFILL_WEIGHT - 1)
+                    * (shared - cached)
+                    / member.load.rate
                 )
             scored.append((score, member, has_room))
         return scored
 
     def fetch_source(self, admission: Admission, member: PoolMember) -> str:
-        """Return the engine to copy shared parts from, or "".
+        """Return the engine to copy the KV cache of shared parts from, or "".
 
-        A copy is worth it where it takes less time than reading.
+        An engine is returned only if copying takes less time than prefilling.
         """
         load = member.load
         if not isinstance(load, EngineLoad) or not admission.shared_parts:
             return ""
         parts = admission.shared_parts
-        held = load.memory.held_tokens(parts)
-        source_id, most = "", held
+        cached = load.prefix_cache.cached_tokens(parts)
+        source_id, most_cached = "", cached
         for upstream_id, other in self.member_by_id.items():
-            tokens = held_prefix_tokens(other.load, parts)
-            if tokens > most:
-                source_id, most = upstream_id, tokens
+            tokens = cached_prefix_tokens(other.load, parts)
+            if tokens > most_cached:
+                source_id, most_cached = upstream_id, tokens
         if not source_id:
             return ""
         profile = load.profile
         copy_seconds = (
-            (most - held)
+            (most_cached - cached)
             * profile.token_bytes
             / max(1.0, profile.link_bytes_per_second)
         )
-        read_seconds = (most - held) / load.rate
-        return source_id if copy_seconds < read_seconds else ""
+        prefill_seconds = (most_cached - cached) / load.rate
+        return source_id if copy_seconds < prefill_seconds else ""
 
-    def least_cost(self, admission: Admission) -> float:
-        """Return the cost of a request where it costs least."""
+    def min_cost(self, admission: Admission) -> float:
+        """Return the lowest cost of a request over all upstreams."""
         return min(
             (
-                member.load.read_cost(admission)
+                member.load.request_cost(admission)
                 for member in self.member_by_id.values()
             ),
             default=1.0,
         )
 
-    def _home(
+    def _affinity_member(
         self, admission: Admission, members: list[PoolMember]
     ) -> PoolMember | None:
-        """Return the upstream that a prompt falls to by hash."""
+        """Return the affinity upstream of a prompt if it is a candidate."""
         if not admission.shared_parts:
             return None
         key = admission.shared_parts[-1].key
-        home_id = self._home_by_part.get(key)
-        if home_id is None:
-            home_id = owner_of(self._pool, key, self.member_by_id)
-            if home_id is None:
+        affinity_id = self._affinity_id_by_part_key.get(key)
+        if affinity_id is None:
+            affinity_id = owner_of(self._pool, key, self.member_by_id)
+            if affinity_id is None:
                 return None
-            if len(self._home_by_part) >= LARGEST_HOME_CACHE:
-                self._home_by_part.clear()
-            self._home_by_part[key] = home_id
-        home = self.member_by_id[home_id]
-        return home if home in members else None
+            if len(self._affinity_id_by_part_key) >= MAX_AFFINITY_CACHE_ENTRIES:
+                self._affinity_id_by_part_key.clear()
+            self._affinity_id_by_part_key[key] = affinity_id
+        affinity = self.member_by_id[affinity_id]
+        return affinity if affinity in members else None
 
 
-def _trusted(members: Collection[PoolMember], now: float) -> list[PoolMember]:
-    """Return the upstreams that are not blocked, or all if all of them are.
+def _unblocked(members: Collection[PoolMember], now: float) -> list[PoolMember]:
+    """Return the upstreams that are not blocked, or all if all are blocked.
 
-    If all of them fail, any may be the one that works again.
+    When all fail, requests go on so that a recovered upstream is found.
     """
-    trusted = [item for item in members if now >= item.trust.blocked_until]
-    return trusted or list(members)
+    unblocked = [item for item in members if now >= item.breaker.blocked_until]
+    return unblocked or list(members)
 
 
 def _new_load(
--- a/packages/core/src/lacewingspar_core/pool_admission.py
+++ b/packages/core/src/lacewingspar_core/pool_admission.py
@@ -1,10 +1,10 @@
-"""Which request of a pool's callers goes to which upstream, and when.
+"""Admission control for one pool of upstreams.
 
-Load that this answers: bursts and steady demand above what the engines can
-read, with a few large workspaces, prompts that share long parts, and engines
-that admit in order of arrival. One router decides for one pool, so that what
-waits can be ordered over the whole fleet, and engines hold only what they
-need to stay busy.
+Designed for bursts and steady demand above the prefill capacity of the
+engines, a few large workspaces and prompts with long shared parts. Engines
+admit requests in order of arrival. One router, the pool owner, decides for the
+whole fleet, so that waiting requests are ordered across all routers and the
+engines queue only what keeps them busy.
 """
 
 from collections import deque
@@ -22,61 +22,63 @@
     Queued,
     RunOutcome,
 )
-from lacewingspar_core.declined_requests import DeclinedRequests
+from lacewingspar_core.declined_requests import FirstAttemptTargets
 from lacewingspar_core.directory import UpstreamEntry
 from lacewingspar_core.fair_queue import FairQueue
 from lacewingspar_core.identity import RouterLife
 from lacewingspar_core.placement import Placement, PoolMember
-from lacewingspar_core.recent_declines import LONGEST_RETRY_FRACTION
+from lacewingspar_core.recent_declines import MAX_RETRY_AFTER_FRACTION
 from lacewingspar_core.routing import UpstreamService
 from lacewingspar_core.upstream_load import (
     ActiveRun,
 )
 from lacewingspar_core.workspace_tally import WorkspaceTally
 
-# A generated token takes the engines as long as two that are read (unit of
-# the operators' estimate of the engines' rate).
+# Cost of an output token in prompt tokens: generating one takes an engine as
+# long as prefilling two, the ratio in the operators' estimate of its rate.
 OUTPUT_TOKEN_COST = 2.0
-# A request that cannot be in time anyway, since its prompt is long, may wait
-# this part of its aim.
-LATE_WAIT_FRACTION = 0.3
-# A request that has come back after it was declined is late, so that those
-# which can be in time go before it. It may wait for this part of the time that
-# its caller has left, until the load falls.
-RETURNED_WAIT_FRACTION = 0.2
-# A waiting request is declined when its expected wait has grown to this many
-# times its aim, as after the loss of engines.
-SHED_FACTOR = 2.5
-# A prompt is due later than its aim by this many times its reading time, so
-# that long ones are refused no sooner than short ones.
-LONG_PROMPT_FACTOR = 1.5
-# A waiting request whose caller waits for longer than this beyond its expected
-# wait is not checked for the time to its first part, which is mostly shorter.
-FIRST_PART_CHECK_SECONDS = 1.0
-# Shortest time in which an upstream can still do something useful.
-LEAST_RUN_SECONDS = 0.1
-# Part of its expected run time that a request must have left. The length of an
-# answer is known only when it ends, and half of them are shorter than expected.
-RUN_FRACTION = 0.7
-# Callers come back after the expected wait, spread over as long again, and
-# not sooner than this.
-LEAST_RETRY_AFTER_SECONDS = 0.25
-# Requests that are looked at for an upstream with room: of one workspace, and
-# of all. They bound the processor time of a decision.
-LOOK_AHEAD = 3
-LOOK_AHEAD_ALL = 12
-# A wait is longer than expected where other workspaces become active; requests
-# are accepted only if they would be in time with this many times the wait.
-WAIT_MARGIN = 2.0
-# Time over which the rate of grants is measured while requests wait.
-RATE_WINDOW_SECONDS = 1.0
-# Lowest measured rate, as a part of the engines' own, that is believed.
-LEAST_RATE_FRACTION = 0.1
-# A run that its holder no longer reports has ended, unless the grant may still
-# be under way to the holder.
-UNREPORTED_RUN_SECONDS = 1.0
-# A run whose caller no longer waits has ended, whatever was lost.
-RUN_OVERTIME_SECONDS = 2.0
+# Minimum allowed wait as a fraction of the latency target, for requests that
+# miss the target in any case because their prompt is long.
+LONG_PROMPT_WAIT_FRACTION = 0.3
+# Allowed wait of a retried request as a fraction of the time until its
+# deadline. Retries of declined requests keep their first latency target, so
+# requests that can still meet theirs go first.
+RETRIED_WAIT_FRACTION = 0.2
+# A queued request is declined when its total wait would exceed this multiple of
+# its latency target, for example after engines were lost.
+SHED_WAIT_FACTOR = 2.5
+# Extra time for the first chunk, as a multiple of the prefill time, so that
+# long prompts are not declined earlier than short ones.
+PREFILL_GRACE_FACTOR = 1.5
+# Queued requests with more time than this left after their expected wait skip
+# the first-chunk check: first chunks mostly take less.
+FIRST_CHUNK_CHECK_SECONDS = 1.0
+# Minimum time to the deadline for a request to be admitted.
+MIN_RUN_SECONDS = 0.1
+# Minimum time to the deadline as a fraction of the expected run time. The
+# length of a response is known only when it ends; half are shorter than
+# expected.
+MIN_RUN_FRACTION = 0.7
+# Lower bound of Retry-After before the spread. Callers retry after the expected
+# wait, spread over one to two times its length.
+MIN_RETRY_AFTER_SECONDS = 0.25
+# Queued requests examined for each grant, which bounds the CPU time of a
+# decision.
+LOOKAHEAD_PER_WORKSPACE = 3
+LOOKAHEAD_TOTAL = 12
+# Requests are queued only if they meet their target with this multiple of the
+# expected wait, which grows when other workspaces become active.
+WAIT_SAFETY_FACTOR = 2.0
+# Window for measuring the grant rate while requests are queued.
+GRANT_RATE_WINDOW_SECONDS = 1.0
+# Lower bound of the measured grant rate as a fraction of the nominal rate.
+MIN_GRANT_RATE_FRACTION = 0.1
+# A run that is missing from the ingress router's report counts as ended after
+# this time. Before, the grant may still be on its way to that router.
+UNREPORTED_RUN_GRACE_SECONDS = 1.0
+# A run is removed this long after its deadline, in case the message about its
+# end was lost.
+RUN_DEADLINE_GRACE_SECONDS = 2.0
 
 REASON_OVERLOADED = "overloaded"
 REASON_NO_UPSTREAM = "no_upstream"
@@ -84,16 +86,17 @@
 
 
 class PoolAdmission:
-    """Admission of requests to one pool of upstreams.
+    """Decides which requests run on which upstream of a pool, and when.
 
-    Events and the time go in, decisions come out.
+    The class does no I/O: it receives events with the current time and returns
+    decisions.
 
     Attributes:
-        granted: Cost granted since the last report, in tokens that are read.
+        granted: Cost granted since the last report, in prompt tokens.
         declined: Requests declined since the last report.
 
     Args:
-        pool: Name of the pool, which seeds the choice of homes.
+        pool: Name of the pool, which seeds the hash for affinity upstreams.
     """
 
     def __init__(self, pool: str) -> None:
@@ -102,9 +105,9 @@
         self._placement = Placement(pool)
         self._queue = FairQueue()
         self._upstream_by_run: dict[AdmissionKey, str] = {}
-        self._granted: deque[tuple[float, float]] = deque()
+        self._recent_grants: deque[tuple[float, float]] = deque()
         self._backlogged_since: float | None = None
-        self._declined_requests = DeclinedRequests()
+        self._first_attempt_targets = FirstAttemptTargets()
 
     def set_upstreams(
         self,
@@ -113,30 +116,36 @@
         engine_tokens_per_second: float,
         now: float,
     ) -> list[AdmissionDecision]:
-        """Take over the upstreams that take new work.
+        """Replace the upstreams that accept new requests.
 
-        Runs on upstreams that have left are forgotten here; their holders
+        Runs on removed upstreams are no longer tracked; their ingress routers
         finish them.
 
         Args:
-            entry_by_id: The upstreams.
-            service: The service that they belong to.
-            engine_tokens_per_second: Estimated rate of one engine, or 0.
+            entry_by_id: Upstreams that accept new requests.
+            service: Service that the upstreams belong to.
+            engine_tokens_per_second: Estimated prefill rate of one engine, or 0
+                if there is no estimate.
             now: Time in seconds.
+
+        Returns:
+            Decisions on queued requests.
         """
-        left = self._placement.update(
+        removed = self._placement.update(
             entry_by_id, service, engine_tokens_per_second
         )
-        for member in left:
+        for member in removed:
             for key in member.load.run_by_key:
                 self._upstream_by_run.pop(key, None)
         return self._grant_waiting(now)
 
     def ask(self, admission: Admission, now: float) -> list[AdmissionDecision]:
-        """Decide on a request; a repeated request is answered again.
+        """Submit a request for admission.
+
+        Submitting a request again returns its current state.
 
         Returns:
-            Decisions on this request and on others.
+            Decisions on this request and on other queued requests.
         """
         key = admission.key
         if key in self._upstream_by_run:
@@ -145,12 +154,12 @@
             due_at = self._queue.due_at(key)
             wait = self._expected_wait(admission, due_at, now)
             return [Queued(key, wait)]
-        admission = self._with_first_aim(admission, now)
-        cost = self._placement.least_cost(admission)
+        admission = self._with_original_target(admission, now)
+        cost = self._placement.min_cost(admission)
         due_at = self._due_at(admission, cost)
         reason = self._decline_reason(admission, due_at, now)
         if reason is not None:
-            return [self._declined(admission, due_at, reason, now)]
+            return [self._decline(admission, due_at, reason, now)]
         if not len(self._queue):
             self._backlogged_since = now
         self._queue.add(admission, cost, due_at)
@@ -163,19 +172,19 @@
     def note_first_part(
         self, key: AdmissionKey, now: float
     ) -> list[AdmissionDecision]:
-        """Take over that the first part of an answer has come."""
+        """Record the first chunk of a response and grant queued requests."""
         member = self._member_of(key)
         if member is None:
             return []
         member.load.note_first_part(key, now)
-        self._placement.note_change(member)
-        member.trust.note_answer()
+        self._placement.record_load_change(member)
+        member.breaker.record_response()
         return self._grant_waiting(now)
 
     def end(
         self, key: AdmissionKey, outcome: RunOutcome, now: float
     ) -> list[AdmissionDecision]:
-        """Take over how a run ended, or that a request is withdrawn."""
+        """Record the end of a run, or withdraw a queued request."""
         waiting = self._queue.find(key)
         if waiting is not None:
             self._queue.remove(waiting)
@@ -185,23 +194,23 @@
             return []
         del self._upstream_by_run[key]
         member.load.end(key, now)
-        self._placement.note_change(member)
-        member.trust.note(outcome, now)
+        self._placement.record_load_change(member)
+        member.breaker.record(outcome, now)
         return self._grant_waiting(now)
 
     def note_unreachable(self, upstream_id: str, now: float) -> None:
-        """Take over that an upstream refuses connections or is silent."""
+        """Record that no connection to an upstream could be opened."""
         member = self._placement.member_by_id.get(upstream_id)
         if member is not None:
-            member.trust.note_unreachable(now)
+            member.breaker.note_unreachable(now)
 
     def reconcile(
         self, holder: RouterLife, runs: Iterable[ActiveRun], now: float
     ) -> list[AdmissionDecision]:
-        """Take over the runs that a holder reports.
+        """Reconcile the known runs with an ingress router's report.
 
-        Runs that another owner granted are added, and those that the holder
-        no longer has are dropped.
+        Adds runs that another pool owner granted, and drops runs that the
+        ingress router no longer has.
         """
         reported = {run.key: run for run in runs}
         for key, upstream_id in list(self._upstream_by_run.items()):
@@ -209,49 +218,49 @@
                 continue
             load = self._placement.member_by_id[upstream_id].load
             granted_at = load.run_by_key[key].granted_at
-            if now - granted_at > UNREPORTED_RUN_SECONDS:
-                self._forget_run(key)
+            if now - granted_at > UNREPORTED_RUN_GRACE_SECONDS:
+                self._drop_run(key)
         for key, run in reported.items():
             member = self._placement.member_by_id.get(run.upstream_id)
             if member is not None and key not in self._upstream_by_run:
                 self._upstream_by_run[key] = run.upstream_id
-                member.load.adopt(run)
-                self._placement.note_change(member)
+                member.load.add_run(run)
+                self._placement.record_load_change(member)
         return self._grant_waiting(now)
 
     def forget_holder(
         self, holder: RouterLife, now: float
     ) -> list[AdmissionDecision]:
-        """Drop the requests of a router that is gone."""
+        """Drop all requests of an ingress router that has left the fleet."""
         for key in list(self._upstream_by_run):
             if key.holder == holder:
-                self._forget_run(key)
+                self._drop_run(key)
         for admission in list(self._queue):
             if admission.key.holder == holder:
                 self._queue.remove(admission)
         return self._grant_waiting(now)
 
     def tick(self, now: float) -> list[AdmissionDecision]:
-        """Decline what can no longer be served in time.
+        """Drop overdue runs and decline requests that can't be served in time.
 
-        To be called some ten times a second.
+        Must be called about ten times a second.
         """
         for key, upstream_id in list(self._upstream_by_run.items()):
             run = self._placement.member_by_id[upstream_id].load.run_by_key[key]
-            if now > run.ends_by + RUN_OVERTIME_SECONDS:
-                self._forget_run(key)
+            if now > run.ends_by + RUN_DEADLINE_GRACE_SECONDS:
+                self._drop_run(key)
         decisions = self._grant_waiting(now)
         for admission in list(self._queue):
             reason = self._shed_reason(admission, now)
             if reason is not None:
                 due_at = self._queue.due_at(admission.key)
                 self._queue.remove(admission)
-                decisions.append(self._declined(admission, due_at, reason, now))
+                decisions.append(self._decline(admission, due_at, reason, now))
         return decisions
 
     @property
     def waiting(self) -> int:
-        """Return the number of waiting requests."""
+        """Return the number of queued requests."""
         return len(self._queue)
 
     @property
@@ -267,15 +276,15 @@
             else self._placement.member_by_id[upstream_id]
         )
 
-    def _forget_run(self, key: AdmissionKey) -> None:
+    def _drop_run(self, key: AdmissionKey) -> None:
         upstream_id = self._upstream_by_run.pop(key)
         member = self._placement.member_by_id[upstream_id]
         run = member.load.run_by_key[key]
         member.load.end(key, run.granted_at)
-        self._placement.note_change(member)
+        self._placement.record_load_change(member)
 
     def _grant_waiting(self, now: float) -> list[AdmissionDecision]:
-        """Grant upstreams until none with room suits a waiting request."""
+        """Grant queued requests until no upstream has room for one of them."""
         decisions: list[AdmissionDecision] = []
         while len(self._queue):
             granted = self._grant_next(now)
@@ -287,20 +296,22 @@
         return decisions
 
     def _grant_next(self, now: float) -> Granted | None:
-        open_members = self._placement.open_members(now)
-        if not open_members:
+        available_members = self._placement.available_members(now)
+        if not available_members:
             return None
-        in_time_from = now + self._placement.lead_seconds
-        looked_at = 0
-        for workspace in self._queue.in_turn():
+        earliest_first_chunk_at = now + self._placement.min_first_chunk_seconds
+        examined = 0
+        for workspace in self._queue.workspaces_in_order():
             for admission in self._queue.most_urgent(
-                workspace, LOOK_AHEAD, in_time_from
+                workspace, LOOKAHEAD_PER_WORKSPACE, earliest_first_chunk_at
             ):
-                looked_at += 1
-                member = self._placement.choose(admission, open_members, now)
+                examined += 1
+                member = self._placement.choose(
+                    admission, available_members, now
+                )
                 if member is not None:
                     return self._grant(admission, member, now)
-            if looked_at >= LOOK_AHEAD_ALL:
+            if examined >= LOOKAHEAD_TOTAL:
                 break
         return None
 
@@ -308,23 +319,25 @@
         self, admission: Admission, member: PoolMember, now: float
     ) -> Granted:
         self._queue.remove(admission)
-        cost = member.load.read_cost(admission)
-        self._granted.append((now, cost))
-        self._forget_old_grants(now)
+        cost = member.load.request_cost(admission)
+        self._recent_grants.append((now, cost))
+        self._prune_grants(now)
         charged = cost + OUTPUT_TOKEN_COST * admission.output_tokens
         self._queue.charge(admission.workspace, charged)
         self.granted.add(admission.workspace, round(charged))
         fetch_from = self._placement.fetch_source(admission, member)
         upstream_id = member.entry.upstream_id
         member.load.begin(admission, now)
-        self._placement.note_change(member)
-        member.trust.note_grant(now)
+        self._placement.record_load_change(member)
+        member.breaker.record_grant(now)
         self._upstream_by_run[admission.key] = upstream_id
         return Granted(admission.key, upstream_id, fetch_from)
 
-    def _with_first_aim(self, admission: Admission, now: float) -> Admission:
-        """Return a request with the aim of its caller's first attempt."""
-        aim_at = self._declined_requests.take(
+    def _with_original_target(
+        self, admission: Admission, now: float
+    ) -> Admission:
+        """Return a request with the latency target of its first attempt."""
+        aim_at = self._first_attempt_targets.pop_target(
             admission.workspace, admission.identity, now
         )
         if aim_at is None:
@@ -332,42 +345,50 @@
         return replace(admission, aim_at=min(aim_at, admission.aim_at))
 
     def _due_at(self, admission: Admission, cost: float) -> float:
-        """Return when the first part is due, with time for a long prompt."""
+        """Return when the first chunk is due, allowing for prefill time."""
         rate = max(
             (item.load.rate for item in self._placement.member_by_id.values()),
             default=1.0,
         )
-        return admission.aim_at + LONG_PROMPT_FACTOR * cost / rate
+        return admission.aim_at + PREFILL_GRACE_FACTOR * cost / rate
 
-    def _rate(self, now: float) -> float:
-        """Return the cost that the pool takes in a second."""
+    def _grant_rate(self, now: float) -> float:
+        """Return the cost that the pool can grant per second."""
         nominal = sum(
             member.load.rate
             for member in self._placement.member_by_id.values()
-            if not member.trust.is_blocked(now)
+            if not member.breaker.is_blocked(now)
         )
         since = self._backlogged_since
-        if since is None or now - since < RATE_WINDOW_SECONDS:
+        if since is None or now - since < GRANT_RATE_WINDOW_SECONDS:
             return nominal
-        self._forget_old_grants(now)
-        measured = sum(cost for _, cost in self._granted) / RATE_WINDOW_SECONDS
-        return min(nominal, max(measured, LEAST_RATE_FRACTION * nominal))
+        self._prune_grants(now)
+        measured = (
+            sum(cost for _, cost in self._recent_grants)
+            / GRANT_RATE_WINDOW_SECONDS
+        )
+        return min(nominal, max(measured, MIN_GRANT_RATE_FRACTION * nominal))
 
-    def _forget_old_grants(self, now: float) -> None:
-        while self._granted and self._granted[0][0] < now - RATE_WINDOW_SECONDS:
-            self._granted.popleft()
+    def _prune_grants(self, now: float) -> None:
+        while (
+            self._recent_grants
+            and self._recent_grants[0][0] < now - GRANT_RATE_WINDOW_SECONDS
+        ):
+            self._recent_grants.popleft()
 
     def _expected_wait(
         self, admission: Admission, due_at: float, now: float
     ) -> float:
-        """Return the wait for a grant by the shares of the workspaces."""
-        rate = self._rate(now)
+        """Return the expected wait for a grant under fair sharing."""
+        rate = self._grant_rate(now)
         if rate <= 0:
             return 0.0
-        in_time_from = now + self._placement.lead_seconds
-        before = self._queue.cost_before(admission, due_at, in_time_from)
-        own = before * max(1, self._queue.workspaces)
-        return min(self._queue.cost, own) / rate
+        earliest_first_chunk_at = now + self._placement.min_first_chunk_seconds
+        cost_ahead = self._queue.cost_ahead(
+            admission, due_at, earliest_first_chunk_at
+        )
+        fair_cost = cost_ahead * max(1, self._queue.workspace_count)
+        return min(self._queue.total_cost, fair_cost) / rate
 
     def _decline_reason(
         self, admission: Admission, due_at: float, now: float
@@ -379,27 +400,27 @@
             return REASON_DEADLINE
         if not len(self._queue):
             return None
-        first_part = min(
-            member.load.first_part_seconds(admission) for member in members
+        first_chunk = min(
+            member.load.first_chunk_seconds(admission) for member in members
         )
-        left = due_at - now - first_part
-        patience = admission.given_up_at - now - first_part
-        aim = max(0.0, admission.aim_at - admission.arrived_at)
-        allowed = max(left, LATE_WAIT_FRACTION * aim)
+        slack = due_at - now - first_chunk
+        timeout_slack = admission.given_up_at - now - first_chunk
+        target = max(0.0, admission.aim_at - admission.arrived_at)
+        allowed = max(slack, LONG_PROMPT_WAIT_FRACTION * target)
         if admission.aim_at < now:
-            # The caller has come back and is late in any case.
+            # A retry: the target of the first attempt has already passed.
             time_left = admission.deadline_at - now
-            allowed = max(allowed, RETURNED_WAIT_FRACTION * time_left)
+            allowed = max(allowed, RETRIED_WAIT_FRACTION * time_left)
         wait = self._expected_wait(admission, due_at, now)
-        is_too_long = WAIT_MARGIN * wait > min(allowed, patience)
+        is_too_long = WAIT_SAFETY_FACTOR * wait > min(allowed, timeout_slack)
         return REASON_OVERLOADED if is_too_long else None
 
     def _can_end_in_time(
         self, admission: Admission, members: list[PoolMember], now: float
     ) -> bool:
-        """Return whether the whole answer may be there by the deadline."""
+        """Return whether the response may be complete by the deadline."""
         run_seconds = min(item.load.run_seconds(admission) for item in members)
-        needed = max(LEAST_RUN_SECONDS, RUN_FRACTION * run_seconds)
+        needed = max(MIN_RUN_SECONDS, MIN_RUN_FRACTION * run_seconds)
         return admission.deadline_at - now >= needed
 
     def _shed_reason(self, admission: Admission, now: float) -> str | None:
@@ -410,34 +431,34 @@
             return REASON_DEADLINE
         if now < admission.aim_at:
             return None
-        limit = SHED_FACTOR * (admission.aim_at - admission.arrived_at)
+        limit = SHED_WAIT_FACTOR * (admission.aim_at - admission.arrived_at)
         if admission.aim_at < admission.arrived_at:
-            left = admission.deadline_at - admission.arrived_at
-            limit = SHED_FACTOR * RETURNED_WAIT_FRACTION * left
+            budget = admission.deadline_at - admission.arrived_at
+            limit = SHED_WAIT_FACTOR * RETRIED_WAIT_FRACTION * budget
         due_at = self._queue.due_at(admission.key)
         wait = self._expected_wait(admission, due_at, now)
         if now + wait - admission.arrived_at > limit:
             return REASON_OVERLOADED
-        left = admission.given_up_at - now - wait
-        if left > FIRST_PART_CHECK_SECONDS:
+        time_left = admission.given_up_at - now - wait
+        if time_left > FIRST_CHUNK_CHECK_SECONDS:
             return None
-        first_part = min(
-            member.load.first_part_seconds(admission) for member in members
+        first_chunk = min(
+            member.load.first_chunk_seconds(admission) for member in members
         )
-        return REASON_OVERLOADED if first_part > left else None
+        return REASON_OVERLOADED if first_chunk > time_left else None
 
-    def _declined(
+    def _decline(
         self, admission: Admission, due_at: float, reason: str, now: float
     ) -> Declined:
         self.declined.add(admission.workspace)
-        self._declined_requests.note(
+        self._first_attempt_targets.record(
             admission.workspace, admission.identity, admission.aim_at, now
         )
         wait = self._expected_wait(admission, due_at, now)
         digest = xxhash.xxh32_intdigest(str(admission.key.number).encode())
         spread = 1.0 + digest / 2**32
-        longest = LONGEST_RETRY_FRACTION * (admission.deadline_at - now)
-        seconds = max(LEAST_RETRY_AFTER_SECONDS, longest / 2, wait) * spread
+        longest = MAX_RETRY_AFTER_FRACTION * (admission.deadline_at - now)
+        seconds = max(MIN_RETRY_AFTER_SECONDS, longest / 2, wait) * spread
         return Declined(
             admission.key, reason, wait, max(0.05, min(longest, seconds))
         )
--- a/packages/core/src/lacewingspar_core/prefix_memory.py
+++ b/packages/core/src/lacewingspar_core/prefix_memory.py
@@ -1,4 +1,4 @@
-"""Model of the prompt parts that one engine keeps in its memory."""
+"""Model of the prefix cache of one engine."""
 
 import itertools
 from collections import OrderedDict
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt, which other prompts may share.
+    """A part of a prompt that other prompts may share.
 
     Attributes:
-        key: Hash of the part and of all parts before it.
+        key: Hash of this part and all parts before it.
         tokens: Length in tokens.
     """
 
@@ -19,45 +19,45 @@
     tokens: int
 
 
-class PrefixMemory:
-    """Parts that an engine has read, the least recently used first.
+class PrefixCache:
+    """LRU model of the prompt parts in the KV cache of an engine.
 
-    The model follows what was sent to the engine. What belongs to one request
-    alone stays in the memory as well, and pushes shared parts out.
+    The model is derived from the requests sent to the engine. Tokens that
+    belong to only one request occupy the cache too and evict shared parts.
     """
 
     def __init__(self, capacity_tokens: int) -> None:
         self._capacity_tokens = capacity_tokens
         self._tokens = 0
         self._tokens_by_key: OrderedDict[int, int] = OrderedDict()
-        self._unshared_keys = itertools.count(-1, -1)
+        self._own_keys = itertools.count(-1, -1)
 
-    def held_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """Return the tokens of the leading parts that are held."""
-        held = 0
+    def cached_tokens(self, parts: Sequence[PromptPart]) -> int:
+        """Return the tokens of the leading parts that are cached."""
+        cached = 0
         for part in parts:
             if part.key not in self._tokens_by_key:
                 break
-            held += part.tokens
-        return held
+            cached += part.tokens
+        return cached
 
-    def note_use(
-        self, parts: Sequence[PromptPart], unshared_tokens: int = 0
+    def record_use(
+        self, parts: Sequence[PromptPart], own_tokens: int = 0
     ) -> None:
-        """Note that a request was sent.
+        """Record the cache use of a request that was sent.
 
         Args:
-            parts: Leading parts of its prompt that others may share.
-            unshared_tokens: Further tokens of its prompt and its answer.
+            parts: Leading parts of its prompt that other requests may share.
+            own_tokens: Remaining tokens of its prompt and its response.
         """
-        if unshared_tokens:
-            self._tokens_by_key[next(self._unshared_keys)] = unshared_tokens
-            self._tokens += unshared_tokens
+        if own_tokens:
+            self._tokens_by_key[next(self._own_keys)] = own_tokens
+            self._tokens += own_tokens
         for part in parts:
             self._tokens += part.tokens - self._tokens_by_key.get(part.key, 0)
             self._tokens_by_key[part.key] = part.tokens
-        # A part is of no use without those before it, so that these count as
-        # used later.
+        # A part is useless without the parts before it, so the leading parts
+        # are evicted last.
         for part in reversed(parts):
             self._tokens_by_key.move_to_end(part.key)
         while self._tokens > self._capacity_tokens and self._tokens_by_key:
@@ -65,6 +65,6 @@
             self._tokens -= tokens
 
     def clear(self) -> None:
-        """Forget all parts, as after a restart of the engine."""
+        """Remove all parts, as after a restart of the engine."""
         self._tokens_by_key.clear()
         self._tokens = 0
--- a/packages/core/src/lacewingspar_core/recent_declines.py
+++ b/packages/core/src/lacewingspar_core/recent_declines.py
@@ -1,33 +1,31 @@
-"""Workspaces whose requests the pools have just declined.
+"""Short-lived cache of overload declines by workspace and route.
 
-Load that this answers: a workspace asks for several times its share, and most
-of its requests are declined. A router that goes on asking for each of them
-spends its own processor time and that of the pool's owner on answers that it
-knows.
+When a workspace sends several times its share, most of its requests are
+declined. Declining them from the cache saves the CPU time of asking the pool
+owner about each one.
 """
 
 from collections.abc import Callable
 
-# After a decline for overload a workspace's requests on the same route are not
-# asked for again for this long. It is shorter than the waits that pools accept,
-# so that their queues do not run empty meanwhile.
+# Time to live of a cached decline. It is shorter than the waits that pools
+# accept, so their queues don't run empty meanwhile.
 QUIET_SECONDS = 0.1
-# Callers come back after the time that the pool has named, spread by this part.
-SPREAD_FRACTION = 0.25
-# Callers wait at most this part of the time that they have left.
-LONGEST_RETRY_FRACTION = 0.3
+# Random spread, in both directions, of the Retry-After that the pool returned.
+RETRY_JITTER_FRACTION = 0.25
+# Upper bound of Retry-After as a fraction of the caller's remaining time.
+MAX_RETRY_AFTER_FRACTION = 0.3
 
 
 class RecentDeclines:
-    """Declines for overload by workspace and route, each for a short time.
+    """Cache of declines for overload by workspace and route.
 
     Args:
-        uniform: Returns a random number between two others.
+        uniform: Function that returns a random number between two bounds.
     """
 
     def __init__(self, uniform: Callable[[float, float], float]) -> None:
         self._uniform = uniform
-        self._decline_by_demand: dict[tuple[str, str], tuple[float, float]] = {}
+        self._decline_by_key: dict[tuple[str, str], tuple[float, float]] = {}
 
     def note(
         self,
@@ -36,34 +34,38 @@
         retry_after_seconds: float,
         now: float,
     ) -> None:
-        """Take over that a request was declined for overload."""
+        """Cache the decline of a request for overload."""
         decline = (now + QUIET_SECONDS, retry_after_seconds)
-        self._decline_by_demand[workspace, route] = decline
+        self._decline_by_key[workspace, route] = decline
 
     def is_empty(self, now: float) -> bool:
-        """Return whether no decline is recent."""
-        if not self._decline_by_demand:
+        """Return whether the cache holds no unexpired decline."""
+        if not self._decline_by_key:
             return True
-        if any(until > now for until, _ in self._decline_by_demand.values()):
+        if any(until > now for until, _ in self._decline_by_key.values()):
             return False
-        self._decline_by_demand.clear()
+        self._decline_by_key.clear()
         return True
 
     def retry_after(
-        self, workspace: str, route: str, left_seconds: float, now: float
+        self, workspace: str, route: str, remaining_seconds: float, now: float
     ) -> float | None:
-        """Return when to come back, or None if the pool is to be asked.
+        """Return the Retry-After of a cached decline, or None.
 
         Args:
             workspace: Workspace of the request.
             route: Its route.
-            left_seconds: Time that the caller waits for the answer.
+            remaining_seconds: Time until the caller's deadline.
             now: Time in seconds.
         """
-        until, seconds = self._decline_by_demand.get(
+        until, seconds = self._decline_by_key.get(
             (workspace, route), (0.0, 0.0)
         )
         if now >= until:
             return None
-        spread = self._uniform(1 - SPREAD_FRACTION, 1 + SPREAD_FRACTION)
-        return min(seconds * spread, LONGEST_RETRY_FRACTION * left_seconds)
+        spread = self._uniform(
+            1 - RETRY_JITTER_FRACTION, 1 + RETRY_JITTER_FRACTION
+        )
+        return min(
+            seconds * spread, MAX_RETRY_AFTER_FRACTION * remaining_seconds
+        )
--- a/packages/core/src/lacewingspar_core/retry_allowance.py
+++ b/packages/core/src/lacewingspar_core/retry_allowance.py
@@ -1,28 +1,28 @@
-"""How many requests this router may send a second time.
+"""Retry budget of one router.
 
-The whole fleet has one bound: in any window, the second sends to a service
-stay below a share of its requests plus a fixed number. Each router takes half
-of that share of its own requests and its part of half of the number. The sum
-over all routers then stays below the bound without any message, also while
-routers start, leave or cannot hear each other.
+The fleet limits the retries to a service: in any window they stay below a
+fraction of its requests plus a fixed number. Each router uses half of that
+fraction for its own requests, and an equal part of half of the fixed number.
+The total stays within the limit without any coordination, also while routers
+start, leave or are partitioned.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# Part of the fleet's bound that the routers use together; the rest covers
-# requests that arrive in one window and are sent again in the next.
-USED_FRACTION = 0.5
+# Fraction of the fleet's limit that the routers use. The rest covers requests
+# that arrive in one window and are retried in the next.
+ROUTER_BUDGET_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBound:
-    """Bound of the fleet on second sends to one service.
+    """Limit of the fleet on retries to one service.
 
     Attributes:
-        ratio: Second sends for each request.
-        window_seconds: Window over which they are counted.
-        allowance: Second sends allowed in a window without any request.
+        ratio: Retries allowed per request.
+        window_seconds: Window in which requests and retries are counted.
+        allowance: Retries allowed per window in addition to the ratio.
     """
 
     ratio: float
@@ -32,41 +32,43 @@
 
 @dataclass(slots=True)
 class RetryAllowance:
-    """Second sends of this router to one service.
+    """Retry budget of this router for one service.
 
     Attributes:
-        bound: Bound of the fleet.
+        bound: Limit of the fleet.
     """
 
     bound: RetryBound
-    _requests_at: deque[float] = field(default_factory=deque)
-    _retries_at: deque[float] = field(default_factory=deque)
+    _request_times: deque[float] = field(default_factory=deque)
+    _retry_times: deque[float] = field(default_factory=deque)
 
     def note_request(self, now: float) -> None:
-        """Count the first send of a request."""
-        self._requests_at.append(now)
-        self._forget(now)
+        """Count the first attempt of a request."""
+        self._request_times.append(now)
+        self._prune(now)
 
     def take(self, routers: int, now: float) -> bool:
-        """Count a second send if there is room for it.
+        """Count a retry if the budget allows it.
 
         Args:
-            routers: Number of routers in the fleet, this one included.
+            routers: Number of routers in the fleet, including this one.
             now: Time in seconds.
 
         Returns:
-            Whether the request may be sent again.
+            Whether the request may be retried.
         """
-        self._forget(now)
+        self._prune(now)
         fixed = self.bound.allowance / max(1, routers)
-        earned = self.bound.ratio * len(self._requests_at)
-        if len(self._retries_at) + 1 > USED_FRACTION * (fixed + earned):
+        earned = self.bound.ratio * len(self._request_times)
+        if len(self._retry_times) + 1 > ROUTER_BUDGET_FRACTION * (
+            fixed + earned
+        ):
             return False
-        self._retries_at.append(now)
+        self._retry_times.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         oldest = now - self.bound.window_seconds
-        for times in (self._requests_at, self._retries_at):
+        for times in (self._request_times, self._retry_times):
             while times and times[0] < oldest:
                 times.popleft()
--- a/packages/core/src/lacewingspar_core/upstream_load.py
+++ b/packages/core/src/lacewingspar_core/upstream_load.py
@@ -1,44 +1,42 @@
-"""What runs on one upstream, and what it can take beside that."""
+"""Current load and remaining capacity of one upstream."""
 
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple, Protocol
 
 from lacewingspar_core.admission_events import Admission, AdmissionKey
 from lacewingspar_core.linear_fit import LinearFit
-from lacewingspar_core.prefix_memory import PrefixMemory, PromptPart
+from lacewingspar_core.prefix_memory import PrefixCache, PromptPart
 from lacewingspar_core.routing import EngineProfile
 
-# Prompt tokens that wait at an engine are bounded to this much reading time.
-# Engines admit in order of arrival, so whatever waits there can no longer be
-# reordered; a shorter time would leave the engine idle between two grants.
-ENGINE_BACKLOG_SECONDS = 0.12
-# An engine with less than this part of that backlog takes a prompt of any size.
-# Otherwise small prompts would fill each gap before a long one fits.
-ANY_SIZE_FRACTION = 0.5
-# Part of an engine's memory that requests may fill. The rest keeps the shared
-# parts of prompts and absorbs answers that are longer than expected.
-MEMORY_FRACTION = 0.9
-# Reading rate of an engine before anything was measured, in tokens a second,
-# where the operators give no estimate.
-DEFAULT_TOKENS_PER_SECOND = 30_000.0
-# Lowest measured reading rate that is believed, as a part of the estimate.
-LEAST_RATE_FRACTION = 0.05
-# Seconds a token at which a measured rate stops to make sense.
-_FASTEST_TOKEN = 1e-6
-# Time from sending to the first event without any reading, before anything
-# was measured.
-DEFAULT_FIRST_EVENT_SECONDS = 0.03
-# Time to write one token before anything was measured, and the bound of what is
-# measured, since estimates of the length of an answer are often far too short.
-DEFAULT_TOKEN_SECONDS = 0.01
-LONGEST_TOKEN_SECONDS = 0.1
-TOKEN_SECONDS_WEIGHT = 0.05
-# Mean run time of a plain call before anything was measured.
+# Maximum prefill time of the prompt tokens that wait at an engine. Engines
+# process requests in order of arrival, so those can no longer be reordered. A
+# shorter time would leave the engine idle between two grants.
+PREFILL_BACKLOG_SECONDS = 0.12
+# An engine whose backlog is at most this fraction of the maximum accepts a
+# prompt of any size. Otherwise small prompts would starve long ones.
+ANY_PROMPT_BACKLOG_FRACTION = 0.5
+# Fraction of an engine's KV cache that running requests may fill. The rest
+# keeps shared prompt parts and absorbs responses longer than expected.
+KV_CACHE_FRACTION = 0.9
+# Initial prefill rate of an engine if the operators give no estimate.
+DEFAULT_PREFILL_TOKENS_PER_SECOND = 30_000.0
+# Lower bound of the measured prefill rate as a fraction of the initial one.
+MIN_PREFILL_RATE_FRACTION = 0.05
+# Lower bound of the fitted prefill time per token; avoids division by zero.
+_MIN_PREFILL_SECONDS_PER_TOKEN = 1e-6
+# Initial estimate of the time to the first chunk without any prefill.
+DEFAULT_FIRST_CHUNK_SECONDS = 0.03
+# Initial estimate of the time to generate one token, and the upper bound of a
+# sample: estimates of the response length are often far too low.
+DEFAULT_DECODE_SECONDS_PER_TOKEN = 0.01
+MAX_DECODE_SECONDS_PER_TOKEN = 0.1
+DECODE_TIME_WEIGHT = 0.05
+# Initial estimate of the run time of a plain call.
 DEFAULT_CALL_SECONDS = 0.05
-CALL_SECONDS_WEIGHT = 0.1
-# Tokens at which the first estimate of the reading rate is taken: a long
-# prompt.
-_PRIOR_TOKENS = 8000.0
+CALL_TIME_WEIGHT = 0.1
+# Prompt length, that of a long prompt, at which the initial prefill rate counts
+# as a sample of the fit.
+_PRIOR_PROMPT_TOKENS = 8000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,15 +45,16 @@
 
     Attributes:
         key: Identity of the request.
-        upstream_id: The upstream.
-        unread_tokens: Prompt tokens that the upstream has to read, or 0 once
-            the first event has come.
-        memory_tokens: Tokens that the request takes of the memory.
-        ends_by: Time at which the caller waits no longer.
-        granted_at: Time of the grant.
-        read_ahead_tokens: Unread tokens at the upstream when it was granted,
-            its own included.
-        output_tokens: Expected tokens of the answer.
+        upstream_id: Upstream that runs the request.
+        unread_tokens: Prompt tokens that the upstream has to prefill, or 0
+            once the first chunk has arrived.
+        memory_tokens: Tokens that the request occupies in the KV cache.
+        ends_by: Deadline of the request.
+        granted_at: Time of the grant, or of the first chunk once it has
+            arrived.
+        prefill_ahead_tokens: Pending prefill tokens of the upstream at the
+            time of the grant, including those of the request; 0 if unknown.
+        output_tokens: Expected tokens of the response.
     """
 
     key: AdmissionKey
@@ -64,21 +63,21 @@
     memory_tokens: int
     ends_by: float
     granted_at: float
-    read_ahead_tokens: int = 0
+    prefill_ahead_tokens: int = 0
     output_tokens: int = 0
 
 
-class Fit(NamedTuple):
-    """How a request suits an upstream now.
+class PlacementEstimate(NamedTuple):
+    """Estimate for running a request on an upstream now.
 
     Attributes:
-        first_part_seconds: Expected time from sending to the first part.
-        held_tokens: Tokens of the prompt that the upstream holds.
+        first_chunk_seconds: Expected time from sending to the first chunk.
+        cached_tokens: Prompt tokens in the KV cache of the upstream.
         has_room: Whether the request may be sent now.
     """
 
-    first_part_seconds: float
-    held_tokens: int
+    first_chunk_seconds: float
+    cached_tokens: int
     has_room: bool
 
 
@@ -88,54 +87,60 @@
     run_by_key: dict[AdmissionKey, ActiveRun]
 
     @property
-    def is_open(self) -> bool:
-        """Return whether some request may be sent now."""
+    def is_available(self) -> bool:
+        """Return whether any request may be sent now."""
 
     @property
-    def lead_seconds(self) -> float:
-        """Return the expected time to the first part of a small request."""
+    def min_first_chunk_seconds(self) -> float:
+        """Return the expected time to the first chunk of a small request."""
 
-    def assess(self, admission: Admission) -> Fit:
-        """Return how a request suits the upstream now."""
+    def assess(self, admission: Admission) -> PlacementEstimate:
+        """Return the estimate for running a request here now."""
 
-    def first_part_seconds(self, admission: Admission) -> float:
-        """Return the expected time from sending to the first part."""
+    def first_chunk_seconds(self, admission: Admission) -> float:
+        """Return the expected time from sending to the first chunk."""
 
     def run_seconds(self, admission: Admission) -> float:
-        """Return the expected time from sending to the end of the answer."""
+        """Return the expected time from sending to the end of the response."""
 
-    def read_cost(self, admission: Admission) -> float:
-        """Return what the request costs here, in units of the rate."""
+    def request_cost(self, admission: Admission) -> float:
+        """Return the cost of the request here, in units of the rate."""
 
     @property
     def rate(self) -> float:
-        """Return the cost that the upstream can take in a second."""
+        """Return the cost that the upstream can process per second."""
 
     def begin(self, admission: Admission, now: float) -> None:
-        """Note that a request was granted."""
+        """Add the run of a request that was granted."""
 
-    def adopt(self, run: ActiveRun) -> None:
-        """Note a run that another router granted."""
+    def add_run(self, run: ActiveRun) -> None:
+        """Add a run, for example one that another router granted."""
 
     def note_first_part(self, key: AdmissionKey, now: float) -> None:
-        """Note that the first part of an answer has come."""
+        """Record the first chunk of a response."""
 
     def end(self, key: AdmissionKey, now: float) -> ActiveRun | None:
-        """Note the end of a run and return it, if it was known."""
+        """Remove a run that has ended, and return it if it was known."""
 
-    def forget_memory(self) -> None:
-        """Note that the upstream has started anew."""
+    def clear_cache(self) -> None:
+        """Clear the model of the KV cache after a restart of the upstream."""
 
 
 @dataclass(slots=True)
 class EngineLoad:
-    """Load of a model engine: unread prompt tokens, slots and memory.
+    """Load of a model engine: pending prefill, slots and KV cache.
 
     Attributes:
         upstream_id: The engine.
-        profile: What the operators say about it.
-        prior_tokens_per_second: Reading rate before measurements.
-        rate: Prompt tokens that the engine reads in a second.
+        profile: Capacity of the engine as configured by the operators.
+        prior_tokens_per_second: Initial prefill rate, or 0 for the default.
+        run_by_key: Runs that have not ended.
+        unread_tokens: Prompt tokens that the engine has to prefill.
+        memory_tokens: KV cache tokens that the runs occupy.
+        decode_seconds_per_token: Moving average of the time to generate one
+            token.
+        rate: Prompt tokens that the engine prefills per second.
+        prefix_cache: Model of the prompt parts in the KV cache.
     """
 
     upstream_id: str
@@ -144,154 +149,161 @@
     run_by_key: dict[AdmissionKey, ActiveRun] = field(default_factory=dict)
     unread_tokens: int = 0
     memory_tokens: int = 0
-    token_seconds: float = DEFAULT_TOKEN_SECONDS
+    decode_seconds_per_token: float = DEFAULT_DECODE_SECONDS_PER_TOKEN
     rate: float = field(init=False)
-    memory: PrefixMemory = field(init=False)
-    _first_event: LinearFit = field(init=False)
+    prefix_cache: PrefixCache = field(init=False)
+    _first_chunk_fit: LinearFit = field(init=False)
 
     def __post_init__(self) -> None:
-        self.memory = PrefixMemory(self.profile.memory_tokens)
-        self._first_event = LinearFit(
+        self.prefix_cache = PrefixCache(self.profile.memory_tokens)
+        self._first_chunk_fit = LinearFit(
             slope=1 / self._prior_rate,
-            intercept=DEFAULT_FIRST_EVENT_SECONDS,
-            prior_x=_PRIOR_TOKENS,
+            intercept=DEFAULT_FIRST_CHUNK_SECONDS,
+            prior_x=_PRIOR_PROMPT_TOKENS,
         )
         self.rate = self._measured_rate()
 
     @property
     def _prior_rate(self) -> float:
-        return self.prior_tokens_per_second or DEFAULT_TOKENS_PER_SECOND
+        return self.prior_tokens_per_second or DEFAULT_PREFILL_TOKENS_PER_SECOND
 
     @property
-    def is_open(self) -> bool:
-        """Return whether some request may be sent now."""
+    def is_available(self) -> bool:
+        """Return whether any request may be sent now."""
         return not self.run_by_key or (
             len(self.run_by_key) < self.profile.slots
-            and self.unread_tokens < ENGINE_BACKLOG_SECONDS * self.rate
+            and self.unread_tokens < PREFILL_BACKLOG_SECONDS * self.rate
         )
 
     @property
-    def lead_seconds(self) -> float:
-        """Return the expected time to the first part of a small request."""
-        return self._first_event.at(self.unread_tokens)
+    def min_first_chunk_seconds(self) -> float:
+        """Return the expected time to the first chunk of a small request."""
+        return self._first_chunk_fit.at(self.unread_tokens)
 
-    def assess(self, admission: Admission) -> Fit:
-        """Return how a request suits the engine now.
+    def assess(self, admission: Admission) -> PlacementEstimate:
+        """Return the estimate for running a request here now.
 
-        This is asked for each engine at each decision, so it does in one call
-        what the other methods do in several.
+        Every decision calls this method for each engine, so it combines the
+        work of several other methods for speed.
         """
         parts = admission.shared_parts
-        held = self.memory.held_tokens(parts) if parts else 0
-        unread = self.unread_tokens + admission.prompt_tokens - held
-        first_part = self._first_event
-        return Fit(
-            first_part.intercept + first_part.slope * unread,
-            held,
-            not self.run_by_key or self._has_room(admission, unread),
+        cached = self.prefix_cache.cached_tokens(parts) if parts else 0
+        pending = self.unread_tokens + admission.prompt_tokens - cached
+        first_chunk = self._first_chunk_fit
+        return PlacementEstimate(
+            first_chunk.intercept + first_chunk.slope * pending,
+            cached,
+            not self.run_by_key or self._has_room(admission, pending),
         )
 
-    def _has_room(self, admission: Admission, unread: int) -> bool:
-        """Return whether a request may join those that run.
+    def _has_room(self, admission: Admission, pending: int) -> bool:
+        """Return whether a request may run beside the current ones.
 
         Args:
             admission: The request.
-            unread: Tokens that the engine would have to read with it.
+            pending: Pending prefill tokens of the engine including the request.
         """
         profile = self.profile
         if len(self.run_by_key) >= profile.slots:
             return False
-        memory = self.memory_tokens + _memory_tokens(admission)
-        if memory > MEMORY_FRACTION * profile.memory_tokens:
+        needed = self.memory_tokens + _required_memory_tokens(admission)
+        if needed > KV_CACHE_FRACTION * profile.memory_tokens:
             return False
-        limit = ENGINE_BACKLOG_SECONDS * self.rate
-        return self.unread_tokens <= ANY_SIZE_FRACTION * limit or (
-            unread <= limit
+        limit = PREFILL_BACKLOG_SECONDS * self.rate
+        return self.unread_tokens <= ANY_PROMPT_BACKLOG_FRACTION * limit or (
+            pending <= limit
         )
 
-    def tokens_to_read(self, admission: Admission) -> int:
-        """Return the prompt tokens that the engine does not hold."""
-        held = self.memory.held_tokens(admission.shared_parts)
-        return admission.prompt_tokens - held
+    def uncached_tokens(self, admission: Admission) -> int:
+        """Return the prompt tokens that are not in the KV cache."""
+        cached = self.prefix_cache.cached_tokens(admission.shared_parts)
+        return admission.prompt_tokens - cached
 
-    def first_part_seconds(self, admission: Admission) -> float:
-        """Return the expected time from sending to the first event."""
-        return self._first_event.at(
-            self.unread_tokens + self.tokens_to_read(admission)
+    def first_chunk_seconds(self, admission: Admission) -> float:
+        """Return the expected time from sending to the first chunk."""
+        return self._first_chunk_fit.at(
+            self.unread_tokens + self.uncached_tokens(admission)
         )
 
-    def read_cost(self, admission: Admission) -> float:
-        """Return the prompt tokens that the engine would have to read."""
-        return float(self.tokens_to_read(admission))
+    def request_cost(self, admission: Admission) -> float:
+        """Return the prompt tokens that the engine would have to prefill."""
+        return float(self.uncached_tokens(admission))
 
     def _measured_rate(self) -> float:
-        least = LEAST_RATE_FRACTION * self._prior_rate
-        return max(least, 1 / max(_FASTEST_TOKEN, self._first_event.slope))
+        least = MIN_PREFILL_RATE_FRACTION * self._prior_rate
+        return max(
+            least,
+            1
+            / max(_MIN_PREFILL_SECONDS_PER_TOKEN, self._first_chunk_fit.slope),
+        )
 
     def begin(self, admission: Admission, now: float) -> None:
-        """Note that a request was granted."""
-        unread = self.tokens_to_read(admission)
-        self.memory.note_use(
+        """Add the run of a request that was granted."""
+        uncached = self.uncached_tokens(admission)
+        self.prefix_cache.record_use(
             admission.shared_parts,
             admission.own_tokens + admission.output_tokens,
         )
-        self.adopt(
+        self.add_run(
             ActiveRun(
                 key=admission.key,
                 upstream_id=self.upstream_id,
-                unread_tokens=unread,
-                memory_tokens=_memory_tokens(admission),
+                unread_tokens=uncached,
+                memory_tokens=_required_memory_tokens(admission),
                 ends_by=admission.deadline_at,
                 granted_at=now,
-                read_ahead_tokens=self.unread_tokens + unread,
+                prefill_ahead_tokens=self.unread_tokens + uncached,
                 output_tokens=admission.output_tokens,
             )
         )
 
-    def adopt(self, run: ActiveRun) -> None:
-        """Note a run that another router granted."""
+    def add_run(self, run: ActiveRun) -> None:
+        """Add a run, for example one that another router granted."""
         self.run_by_key[run.key] = run
         self.unread_tokens += run.unread_tokens
         self.memory_tokens += run.memory_tokens
 
     def note_first_part(self, key: AdmissionKey, now: float) -> None:
-        """Note that the prompt has been read, and learn from the time."""
+        """Record the end of the prefill, and update its measured rate."""
         run = self.run_by_key.get(key)
         if run is None or run.unread_tokens == 0:
             return
-        if run.read_ahead_tokens:
-            self._first_event.add(run.read_ahead_tokens, now - run.granted_at)
+        if run.prefill_ahead_tokens:
+            self._first_chunk_fit.add(
+                run.prefill_ahead_tokens, now - run.granted_at
+            )
             self.rate = self._measured_rate()
         self.unread_tokens -= run.unread_tokens
         self.run_by_key[key] = replace(
-            run, unread_tokens=0, granted_at=now, read_ahead_tokens=0
+            run, unread_tokens=0, granted_at=now, prefill_ahead_tokens=0
         )
 
     def end(self, key: AdmissionKey, now: float) -> ActiveRun | None:
-        """Note the end of a run and return it, if it was known."""
+        """Remove a run that has ended, and return it if it was known."""
         run = self.run_by_key.pop(key, None)
         if run is not None:
-            self._learn_write_time(run, now)
+            self._update_decode_time(run, now)
             self.unread_tokens -= run.unread_tokens
             self.memory_tokens -= run.memory_tokens
         return run
 
     def run_seconds(self, admission: Admission) -> float:
-        """Return the expected time from sending to the end of the answer."""
-        write_seconds = admission.output_tokens * self.token_seconds
-        return self.first_part_seconds(admission) + write_seconds
+        """Return the expected time from sending to the end of the response."""
+        decode_seconds = admission.output_tokens * self.decode_seconds_per_token
+        return self.first_chunk_seconds(admission) + decode_seconds
 
-    def _learn_write_time(self, run: ActiveRun, now: float) -> None:
+    def _update_decode_time(self, run: ActiveRun, now: float) -> None:
         if run.unread_tokens or not run.output_tokens:
             return
         seconds = max(0.0, now - run.granted_at) / run.output_tokens
-        self.token_seconds += TOKEN_SECONDS_WEIGHT * (
-            min(seconds, LONGEST_TOKEN_SECONDS) - self.token_seconds
+        self.decode_seconds_per_token += DECODE_TIME_WEIGHT * (
+            min(seconds, MAX_DECODE_SECONDS_PER_TOKEN)
+            - self.decode_seconds_per_token
         )
 
-    def forget_memory(self) -> None:
-        """Note that the engine has started anew and holds nothing."""
-        self.memory.clear()
+    def clear_cache(self) -> None:
+        """Clear the model of the KV cache after a restart of the engine."""
+        self.prefix_cache.clear()
 
 
 @dataclass(slots=True)
@@ -300,7 +312,9 @@
 
     Attributes:
         upstream_id: The upstream.
-        slots: Calls that it runs at once.
+        slots: Number of calls that it runs concurrently.
+        run_by_key: Calls that have not ended.
+        call_seconds: Moving average of the run time of a call.
     """
 
     upstream_id: str
@@ -309,43 +323,45 @@
     call_seconds: float = DEFAULT_CALL_SECONDS
 
     @property
-    def is_open(self) -> bool:
+    def is_available(self) -> bool:
         """Return whether a call may be sent now."""
         return len(self.run_by_key) < self.slots
 
     @property
-    def lead_seconds(self) -> float:
-        """Return the expected time of a call."""
+    def min_first_chunk_seconds(self) -> float:
+        """Return the expected run time of a call."""
         return self.call_seconds
 
-    def assess(self, admission: Admission) -> Fit:
-        """Return how a call suits the upstream now."""
-        return Fit(self.first_part_seconds(admission), 0, self.is_open)
+    def assess(self, admission: Admission) -> PlacementEstimate:
+        """Return the estimate for running a call here now."""
+        return PlacementEstimate(
+            self.first_chunk_seconds(admission), 0, self.is_available
+        )
 
-    def first_part_seconds(self, admission: Admission) -> float:
-        """Return the expected time until the answer."""
+    def first_chunk_seconds(self, admission: Admission) -> float:
+        """Return the expected time from sending to the response."""
         del admission
         waiting = max(0, len(self.run_by_key) + 1 - self.slots)
-        busy = len(self.run_by_key) / self.slots
-        return self.call_seconds * (1 + waiting / self.slots + 0.1 * busy)
+        occupancy = len(self.run_by_key) / self.slots
+        return self.call_seconds * (1 + waiting / self.slots + 0.1 * occupancy)
 
     def run_seconds(self, admission: Admission) -> float:
-        """Return the expected time until the answer."""
-        return self.first_part_seconds(admission)
+        """Return the expected time from sending to the response."""
+        return self.first_chunk_seconds(admission)
 
-    def read_cost(self, admission: Admission) -> float:
-        """Return the cost of one call."""
+    def request_cost(self, admission: Admission) -> float:
+        """Return the cost of one call, which is constant."""
         del admission
         return 1.0
 
     @property
     def rate(self) -> float:
-        """Return the calls that the upstream runs in a second."""
+        """Return the number of calls that the upstream can run per second."""
         return self.slots / self.call_seconds
 
     def begin(self, admission: Admission, now: float) -> None:
-        """Note that a call was granted."""
-        self.adopt(
+        """Add the run of a call that was granted."""
+        self.add_run(
             ActiveRun(
                 key=admission.key,
                 upstream_id=self.upstream_id,
@@ -356,37 +372,37 @@
             )
         )
 
-    def adopt(self, run: ActiveRun) -> None:
-        """Note a call that another router granted."""
+    def add_run(self, run: ActiveRun) -> None:
+        """Add a run, for example one that another router granted."""
         self.run_by_key[run.key] = run
 
     def note_first_part(self, key: AdmissionKey, now: float) -> None:
-        """Do nothing; a call takes its slot until it ends."""
+        """Do nothing; a call occupies its slot until it ends."""
 
     def end(self, key: AdmissionKey, now: float) -> ActiveRun | None:
-        """Note the end of a call and learn from its time."""
+        """Remove a call that has ended, and update the mean run time."""
         run = self.run_by_key.pop(key, None)
         if run is not None:
             seconds = max(0.001, now - run.granted_at)
-            self.call_seconds += CALL_SECONDS_WEIGHT * (
+            self.call_seconds += CALL_TIME_WEIGHT * (
                 seconds - self.call_seconds
             )
         return run
 
-    def forget_memory(self) -> None:
-        """Do nothing; plain upstreams hold nothing between calls."""
+    def clear_cache(self) -> None:
+        """Do nothing; plain upstreams cache nothing between calls."""
 
 
-def held_prefix_tokens(
+def cached_prefix_tokens(
     load: UpstreamLoad, parts: tuple[PromptPart, ...]
 ) -> int:
-    """Return the tokens of the leading parts that an upstream holds."""
+    """Return the tokens of the leading parts in the upstream's KV cache."""
     match load:
         case EngineLoad():
-            return load.memory.held_tokens(parts)
+            return load.prefix_cache.cached_tokens(parts)
         case _:
             return 0
 
 
-def _memory_tokens(admission: Admission) -> int:
+def _required_memory_tokens(admission: Admission) -> int:
     return admission.prompt_tokens + admission.output_tokens
--- a/packages/core/src/lacewingspar_core/upstream_trust.py
+++ b/packages/core/src/lacewingspar_core/upstream_trust.py
@@ -1,92 +1,96 @@
-"""Whether an upstream deserves new work, judged by how its runs ended."""
+"""Circuit breaker that blocks a failing upstream."""
 
 from dataclasses import dataclass
 
 from lacewingspar_core.admission_events import RunOutcome
 
-# Weight of the latest run in the share of runs that failed.
+# Weight of the latest run in the moving failure rate.
 FAILURE_WEIGHT = 0.2
-# Upstreams fail some 15% of repeatable requests by themselves; one that fails
-# this share of all its runs is at fault.
-FAILED_SHARE_LIMIT = 0.35
-# Share with which an upstream comes back, so that few failures block it again.
-SHARE_AFTER_BLOCK = 0.2
-# The first block costs little if it was a false alarm; the longest one is
-# short against the seconds that a restart takes.
+# Failure rate above which an upstream is blocked. Healthy upstreams fail about
+# 15% of repeatable requests.
+FAILURE_RATE_LIMIT = 0.35
+# Upper bound of the failure rate after a block; a few more failures block the
+# upstream again.
+FAILURE_RATE_AFTER_BLOCK = 0.2
+# Blocks start short, in case of a false alarm, and double up to a maximum that
+# is short compared with the seconds that a restart takes.
 FIRST_BLOCK_SECONDS = 0.5
-LONGEST_BLOCK_SECONDS = 4.0
-# After a block one request tries the upstream; the others wait this long for
-# what comes of it. A connection that fails takes about as long.
-TRIAL_SECONDS = 0.5
-_MOST_STRIKES = 3
+MAX_BLOCK_SECONDS = 4.0
+# After a block, one request probes the upstream (half-open state) and the
+# others stay blocked for this long. A failing connection takes about as long.
+PROBE_SECONDS = 0.5
+_MAX_CONSECUTIVE_BLOCKS = 3
 
 _FAILURES = frozenset({RunOutcome.FAILED, RunOutcome.BROKEN})
 
 
 @dataclass(slots=True)
-class UpstreamTrust:
-    """Record of the runs of one upstream.
+class CircuitBreaker:
+    """Circuit breaker of one upstream.
 
     Attributes:
-        blocked_until: Time until which the upstream gets no new work.
-        strikes: Blocks since the last success.
-        failed_share: Moving share of failed runs.
-        is_on_trial: Whether one request tries the upstream after a block.
+        blocked_until: Time until which the upstream gets no new requests.
+        consecutive_blocks: Blocks since the last success, up to a maximum.
+        failure_rate: Moving average of the fraction of failed runs.
+        is_probing: Whether one request probes the upstream after a block
+            (half-open state).
     """
 
     blocked_until: float = 0.0
-    strikes: int = 0
-    failed_share: float = 0.0
-    is_on_trial: bool = False
+    consecutive_blocks: int = 0
+    failure_rate: float = 0.0
+    is_probing: bool = False
 
-    def note(self, outcome: RunOutcome, now: float) -> bool:
-        """Take over how a run ended.
+    def record(self, outcome: RunOutcome, now: float) -> bool:
+        """Record the outcome of a run.
 
         Returns:
-            Whether the upstream is blocked from now on.
+            Whether this outcome blocks the upstream.
         """
         if outcome is RunOutcome.COMPLETED:
-            self.failed_share *= 1 - FAILURE_WEIGHT
-            self.note_answer()
+            self.failure_rate *= 1 - FAILURE_WEIGHT
+            self.record_response()
             return False
         if outcome not in _FAILURES:
             return False
-        self.failed_share += FAILURE_WEIGHT * (1 - self.failed_share)
-        if self.failed_share <= FAILED_SHARE_LIMIT or self.is_blocked(now):
+        self.failure_rate += FAILURE_WEIGHT * (1 - self.failure_rate)
+        if self.failure_rate <= FAILURE_RATE_LIMIT or self.is_blocked(now):
             return False
         self._block(now)
         return True
 
     def note_unreachable(self, now: float) -> bool:
-        """Take over that no connection could be opened.
+        """Record that no connection could be opened.
 
         Returns:
-            Whether the upstream is blocked from now on.
+            Whether this starts a new block.
         """
-        if self.is_blocked(now) and not self.is_on_trial:
+        if self.is_blocked(now) and not self.is_probing:
             return False
         self._block(now)
         return True
 
     def is_blocked(self, now: float) -> bool:
-        """Return whether the upstream gets no new work."""
+        """Return whether the upstream gets no new requests."""
         return now < self.blocked_until
 
-    def note_grant(self, now: float) -> None:
-        """Take over that a request goes to the upstream."""
-        if self.strikes and not self.is_blocked(now):
-            self.is_on_trial = True
-            self.blocked_until = now + TRIAL_SECONDS
+    def record_grant(self, now: float) -> None:
+        """Record that a request goes to the upstream, possibly as a probe."""
+        if self.consecutive_blocks and not self.is_blocked(now):
+            self.is_probing = True
+            self.blocked_until = now + PROBE_SECONDS
 
-    def note_answer(self) -> None:
-        """Take over that the upstream has begun an answer."""
-        self.strikes = 0
-        self.is_on_trial = False
+    def record_response(self) -> None:
+        """Close the breaker, since the upstream has started a response."""
+        self.consecutive_blocks = 0
+        self.is_probing = False
         self.blocked_until = 0.0
 
     def _block(self, now: float) -> None:
-        self.is_on_trial = False
-        seconds = FIRST_BLOCK_SECONDS * 2**self.strikes
-        self.blocked_until = now + min(LONGEST_BLOCK_SECONDS, seconds)
-        self.strikes = min(_MOST_STRIKES, self.strikes + 1)
-        self.failed_share = min(self.failed_share, SHARE_AFTER_BLOCK)
+        self.is_probing = False
+        seconds = FIRST_BLOCK_SECONDS * 2**self.consecutive_blocks
+        self.blocked_until = now + min(MAX_BLOCK_SECONDS, seconds)
+        self.consecutive_blocks = min(
+            _MAX_CONSECUTIVE_BLOCKS, self.consecutive_blocks + 1
+        )
+        self.failure_rate = min(self.failure_rate, FAILURE_RATE_AFTER_BLOCK)
--- a/tests/core/engine_model.py
+++ b/tests/core/engine_model.py
@@ -23,7 +23,7 @@
 from lacewingspar_core.directory import UpstreamEntry, UpstreamState
 from lacewingspar_core.identity import RouterLife
 from lacewingspar_core.pool_admission import PoolAdmission
-from lacewingspar_core.prefix_memory import PrefixMemory, PromptPart
+from lacewingspar_core.prefix_memory import PrefixCache, PromptPart
 from lacewingspar_core.routing import EngineProfile, UpstreamService
 
 HOLDER = RouterLife("router", 1)
@@ -84,29 +84,29 @@
     """One engine."""
 
     free_at: float = 0.0
-    memory: PrefixMemory = field(
-        default_factory=lambda: PrefixMemory(PROFILE.memory_tokens)
+    prefix_cache: PrefixCache = field(
+        default_factory=lambda: PrefixCache(PROFILE.memory_tokens)
     )
     shared_tokens_read: int = 0
 
     def read(self, request: Admission, now: float) -> float:
         """Return when the prompt has been read."""
-        held = self.memory.held_tokens(request.shared_parts)
+        cached = self.prefix_cache.cached_tokens(request.shared_parts)
         shared = request.prompt_tokens - request.own_tokens
-        self.shared_tokens_read += shared - held
-        self.memory.note_use(request.shared_parts, request.own_tokens)
-        tokens = request.prompt_tokens - held
+        self.shared_tokens_read += shared - cached
+        self.prefix_cache.record_use(request.shared_parts, request.own_tokens)
+        tokens = request.prompt_tokens - cached
         begin = max(now, self.free_at)
         self.free_at = begin + tokens / READ_TOKENS_PER_SECOND
         return self.free_at
 
 
 @dataclass(slots=True)
-class Served:
+class WorkspaceResult:
     """What the callers of one workspace got."""
 
     asked: int = 0
-    in_aim: int = 0
+    on_time: int = 0
     late: int = 0
     declined: int = 0
     declined_again: int = 0
@@ -114,7 +114,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class Arrival:
     """A request of the load."""
 
     at: float
@@ -131,7 +131,7 @@
     shared_keys: int,
     tokens: int,
     start: float = 0.0,
-) -> Iterator[Request]:
+) -> Iterator[Arrival]:
     """Yield requests whose prompts begin with one of some shared parts."""
     now = start
     while True:
@@ -139,10 +139,10 @@
         if now >= start + seconds:
             return
         part = PromptPart(generator.randrange(shared_keys), 5000)
-        yield Request(now, workspace, (part,), tokens)
+        yield Arrival(now, workspace, (part,), tokens)
 
 
-class Play:
+class Simulation:
     """Plays a load against the admission to a pool.
 
     Args:
@@ -161,14 +161,14 @@
             READ_TOKENS_PER_SECOND,
             0.0,
         )
-        self.served_by_workspace: dict[str, Served] = {}
+        self.served_by_workspace: dict[str, WorkspaceResult] = {}
         self._admission_by_key: dict[AdmissionKey, Admission] = {}
         self._events: list[tuple[float, int, str, Any]] = []
         self._order = itertools.count()
         self._served_keys: set[AdmissionKey] = set()
         self._returned: set[int] = set()
 
-    def run(self, load: list[Request]) -> dict[str, Served]:
+    def run(self, load: list[Arrival]) -> dict[str, WorkspaceResult]:
         """Play a load to its end."""
         for number, request in enumerate(sorted(load, key=lambda r: r.at)):
             self._push(request.at, "ask", (number, request))
@@ -216,7 +216,7 @@
                 self._served_keys.add(value)
                 is_back = wish.identity in self._returned
                 if now <= wish.aim_at and not is_back:
-                    served.in_aim += 1
+                    served.on_time += 1
                 else:
                     served.late += 1
                 self._push(now + WRITE_SECONDS, "end", value)
@@ -259,5 +259,7 @@
         )
         self._push(at, "return", back)
 
-    def _served(self, wish: Admission) -> Served:
-        return self.served_by_workspace.setdefault(wish.workspace, Served())
+    def _served(self, wish: Admission) -> WorkspaceResult:
+        return self.served_by_workspace.setdefault(
+            wish.workspace, WorkspaceResult()
+        )
--- a/tests/core/test_entry_limit.py
+++ b/tests/core/test_entry_limit.py
@@ -6,12 +6,12 @@
 import pytest
 
 from lacewingspar_core.entry_limit import (
-    DELAY_LIMIT_SECONDS,
     LEAST_LIMIT,
+    MAX_LOOP_DELAY_SECONDS,
     EntryLimit,
 )
 
-LATE = 2 * DELAY_LIMIT_SECONDS
+LATE = 2 * MAX_LOOP_DELAY_SECONDS
 SAMPLE_SECONDS = 0.1
 
 
@@ -111,7 +111,7 @@
     Load: 1000 requests are under way, and one round of the loop takes as long
     as they need.
     """
-    delay_seconds = times_the_limit * DELAY_LIMIT_SECONDS
+    delay_seconds = times_the_limit * MAX_LOOP_DELAY_SECONDS
     limit = loaded(a=1000)
     if times_the_limit < 4.0:
         limit.note_delay(delay_seconds)
--- a/tests/core/test_hand_over.py
+++ b/tests/core/test_hand_over.py
@@ -3,9 +3,9 @@
 import pytest
 
 from lacewingspar_core.hand_over import (
-    IN_TIME_SECONDS,
-    LATE_SECONDS,
-    SKIP_SECONDS,
+    EXCLUSION_SECONDS,
+    HIGH_DELAY_SECONDS,
+    LOW_DELAY_SECONDS,
     HandOverShare,
     Neighbour,
     NeighbourLoads,
@@ -14,8 +14,8 @@
 from lacewingspar_core.identity import RouterLife
 from lacewingspar_core.messages import MemberRecord, RouterState
 
-LATE = 2 * LATE_SECONDS
-IN_TIME = IN_TIME_SECONDS / 2
+LATE = 2 * HIGH_DELAY_SECONDS
+IN_TIME = LOW_DELAY_SECONDS / 2
 
 
 def record(
@@ -107,8 +107,8 @@
     loads = NeighbourLoads()
     neighbours = [Neighbour("a", "")]
     loads.skip("a", 10.0)
-    assert loads.choose(neighbours, 10.0 + SKIP_SECONDS / 2) is None
-    assert loads.choose(neighbours, 10.0 + SKIP_SECONDS) == neighbours[0]
+    assert loads.choose(neighbours, 10.0 + EXCLUSION_SECONDS / 2) is None
+    assert loads.choose(neighbours, 10.0 + EXCLUSION_SECONDS) == neighbours[0]
 
 
 def test_requests_at_neighbours_are_bounded() -> None:
--- a/tests/core/test_pool_admission.py
+++ b/tests/core/test_pool_admission.py
@@ -8,7 +8,7 @@
     HOLDER,
     READ_TOKENS_PER_SECOND,
     SERVICE,
-    Play,
+    Simulation,
     admission,
     entry,
     poisson,
@@ -49,23 +49,23 @@
     pool = make_pool("a", "b", "c")
     used = set()
     for number in range(6):
-        wish = admission(number, float(number), shared=(PART,))
-        used.add(upstream_of(pool.ask(wish, float(number))))
-        pool.note_first_part(wish.key, number + 0.1)
-        pool.end(wish.key, RunOutcome.COMPLETED, number + 0.5)
+        request = admission(number, float(number), shared=(PART,))
+        used.add(upstream_of(pool.ask(request, float(number))))
+        pool.note_first_part(request.key, number + 0.1)
+        pool.end(request.key, RunOutcome.COMPLETED, number + 0.5)
     assert len(used) == 1
 
 
 def test_owners_that_follow_each_other_choose_the_same_engine() -> None:
     """Guards against a cold start of all engines at a change of owner."""
-    wishes = [
+    requests = [
         admission(n, 0.0, shared=(PromptPart(n, 5000),)) for n in range(9)
     ]
 
     def homes() -> list[str]:
         return [
-            upstream_of(make_pool("a", "b", "c").ask(wish, 0.0))
-            for wish in wishes
+            upstream_of(make_pool("a", "b", "c").ask(request, 0.0))
+            for request in requests
         ]
 
     assert homes() == homes()
@@ -83,9 +83,9 @@
 def test_repeated_question_is_answered_again() -> None:
     """Guards against a second grant after a lost reply."""
     pool = make_pool("a")
-    wish = admission(1, 0.0)
-    assert upstream_of(pool.ask(wish, 0.0)) == "a"
-    assert upstream_of(pool.ask(wish, 0.1)) == "a"
+    request = admission(1, 0.0)
+    assert upstream_of(pool.ask(request, 0.0)) == "a"
+    assert upstream_of(pool.ask(request, 0.1)) == "a"
     assert pool.running == 1
 
 
@@ -113,26 +113,28 @@
     pool = make_pool("a")
     now = 0.0
     for number in range(100):
-        wish = admission(number, now, output_tokens=100, deadline_at=now + 10.0)
-        assert upstream_of(pool.ask(wish, now)) == "a"
-        pool.note_first_part(wish.key, now + 0.1)
-        pool.end(wish.key, RunOutcome.COMPLETED, now + 2.1)
+        request = admission(
+            number, now, output_tokens=100, deadline_at=now + 10.0
+        )
+        assert upstream_of(pool.ask(request, now)) == "a"
+        pool.note_first_part(request.key, now + 0.1)
+        pool.end(request.key, RunOutcome.COMPLETED, now + 2.1)
         now += 3.0
     # The whole answer takes 6 s.
     for left, expected in ((8.0, Granted), (3.0, Declined)):
-        wish = admission(
+        request = admission(
             int(now), now, output_tokens=300, deadline_at=now + left
         )
-        (decision,) = pool.ask(wish, now)
+        (decision,) = pool.ask(request, now)
         assert isinstance(decision, expected)
         now += 3.0
 
 
 def test_unreachable_upstream_is_left_out_until_its_block_ends() -> None:
     pool = make_pool("a", "b")
-    wish = admission(1, 0.0, shared=(PART,))
-    home = upstream_of(pool.ask(wish, 0.0))
-    pool.end(wish.key, RunOutcome.NOT_RUN, 0.0)
+    request = admission(1, 0.0, shared=(PART,))
+    home = upstream_of(pool.ask(request, 0.0))
+    pool.end(request.key, RunOutcome.NOT_RUN, 0.0)
     pool.note_unreachable(home, 0.0)
     other = admission(2, 0.0, shared=(PART,))
     assert upstream_of(pool.ask(other, 0.0)) != home
@@ -144,15 +146,17 @@
     Load: requests for a shared part whose engine accepts no connection.
     """
     pool = make_pool("a", "b")
-    wish = admission(1, 0.0, shared=(PART,))
-    home = upstream_of(pool.ask(wish, 0.0))
+    request = admission(1, 0.0, shared=(PART,))
+    home = upstream_of(pool.ask(request, 0.0))
     pool.note_unreachable(home, 0.0)
-    pool.end(wish.key, RunOutcome.NOT_RUN, 0.0)
+    pool.end(request.key, RunOutcome.NOT_RUN, 0.0)
     after = 0.0 + FIRST_BLOCK_SECONDS
-    wishes = [admission(n, after, shared=(PART,), tokens=10) for n in (2, 3, 4)]
-    chosen = [upstream_of(pool.ask(wish, after)) for wish in wishes]
+    requests = [
+        admission(n, after, shared=(PART,), tokens=10) for n in (2, 3, 4)
+    ]
+    chosen = [upstream_of(pool.ask(request, after)) for request in requests]
     assert chosen.count(home) == 1
-    (trial,) = [w for w, u in zip(wishes, chosen, strict=True) if u == home]
+    (trial,) = [w for w, u in zip(requests, chosen, strict=True) if u == home]
     pool.note_first_part(trial.key, after + 0.1)
     last = admission(5, after + 0.1, shared=(PART,), tokens=10)
     assert upstream_of(pool.ask(last, after + 0.1)) == home
@@ -207,10 +211,10 @@
     generator = random.Random(5)
     load = list(poisson(generator, 32.0, 3.0, "w", 40, 2000))
     load += poisson(generator, 96.0, 20.0, "w", 40, 2000, start=3.0)
-    play = Play(4)
+    play = Simulation(4)
     served = play.run(load)["w"]
     assert served.declined == 0
-    assert served.in_aim >= 0.97 * served.asked
+    assert served.on_time >= 0.97 * served.asked
     read = sum(item.shared_tokens_read for item in play.engine_by_id.values())
     # Each shared part has to be read once at least; twice is the target.
     assert read <= 2 * 40 * 5000
@@ -226,13 +230,13 @@
     load = list(poisson(generator, 320.0, 8.0, "large", 20, 2000))
     for name in ("s1", "s2", "s3", "s4", "s5"):
         load += poisson(generator, 6.0, 8.0, name, 20, 2000)
-    served = Play(4).run(load)
+    served = Simulation(4).run(load)
     for name in ("s1", "s2", "s3", "s4", "s5"):
-        assert served[name].in_aim >= 0.9 * served[name].asked, name
+        assert served[name].on_time >= 0.9 * served[name].asked, name
     large = served["large"]
     # What the small ones leave is used: 80% of the engines, a third of what
     # the large one asks.
-    assert large.in_aim + large.late >= 0.33 * large.asked
+    assert large.on_time + large.late >= 0.33 * large.asked
 
 
 def test_long_prompts_do_not_starve_behind_short_ones() -> None:
@@ -245,9 +249,9 @@
     total = 1.3 * 4 * READ_TOKENS_PER_SECOND
     load = list(poisson(generator, 0.6 * total / 1000, 8.0, "w", 4, 1000))
     long = list(poisson(generator, 0.4 * total / 16_000, 8.0, "w", 4, 16_000))
-    play = Play(4)
+    play = Simulation(4)
     play.run(load + long)
-    served = play.share_served(lambda wish: wish.own_tokens == 16_000)
+    served = play.share_served(lambda request: request.own_tokens == 16_000)
     everybody = play.share_served(lambda _: True)
     assert served >= 0.5 * everybody
 
@@ -264,13 +268,13 @@
         for number in range(20)
         for request in poisson(generator, 12.8, 20.0, f"w{number}", 60, 2000)
     ]
-    served = Play(4).run(load)
+    served = Simulation(4).run(load)
     asked = sum(item.asked for item in served.values())
-    in_aim = sum(item.in_aim for item in served.values())
+    on_time = sum(item.on_time for item in served.values())
     late = sum(item.late for item in served.values())
-    assert in_aim >= 0.5 * asked
+    assert on_time >= 0.5 * asked
     assert late <= 0.1 * asked
-    shares = [item.in_aim / item.asked for item in served.values()]
+    shares = [item.on_time / item.asked for item in served.values()]
     assert min(shares) >= 0.5 * max(shares)
 
 
@@ -286,13 +290,13 @@
         for number in range(10)
         for request in poisson(generator, 20.8, 16.0, f"w{number}", 60, 2000)
     ]
-    served = Play(4, callers_return=True).run(load)
+    served = Simulation(4, callers_return=True).run(load)
     asked = sum(item.asked for item in served.values())
-    in_aim = sum(item.in_aim for item in served.values())
+    on_time = sum(item.on_time for item in served.values())
     late = sum(item.late for item in served.values())
     # The engines can read 77% of it.
-    assert in_aim >= 0.55 * asked
-    assert in_aim + late >= 0.68 * asked
+    assert on_time >= 0.55 * asked
+    assert on_time + late >= 0.68 * asked
 
 
 @pytest.mark.parametrize("is_returned", [False, True])
--- a/tests/core/test_prefix_memory.py
+++ b/tests/core/test_prefix_memory.py
@@ -3,13 +3,13 @@
 import pytest
 
 from lacewingspar_core.linear_fit import LinearFit
-from lacewingspar_core.prefix_memory import PrefixMemory, PromptPart
+from lacewingspar_core.prefix_memory import PrefixCache, PromptPart
 
 A, B, C = (PromptPart(key, 100) for key in (1, 2, 3))
 
 
 @pytest.mark.parametrize(
-    ("used", "asked", "held"),
+    ("used", "asked", "cached"),
     [
         ([(A, B)], (A, B), 200),
         ([(A, B)], (A, C), 100),
@@ -22,13 +22,13 @@
 def test_held_parts_are_the_leading_ones_last_used(
     used: list[tuple[PromptPart, ...]],
     asked: tuple[PromptPart, ...],
-    held: int,
+    cached: int,
 ) -> None:
     """Guards against parts that count as held after they were pushed out."""
-    memory = PrefixMemory(200)
+    cache = PrefixCache(200)
     for parts in used:
-        memory.note_use(parts)
-    assert memory.held_tokens(asked) == held
+        cache.record_use(parts)
+    assert cache.cached_tokens(asked) == cached
 
 
 def test_what_is_not_shared_pushes_shared_parts_out() -> None:
@@ -36,21 +36,21 @@
 
     Load: a part that is used once, then requests without it.
     """
-    memory = PrefixMemory(1000)
-    memory.note_use((A,), unshared_tokens=300)
-    assert memory.held_tokens((A,)) == 100
-    memory.note_use((), unshared_tokens=500)
-    assert memory.held_tokens((A,)) == 100
-    memory.note_use((B,), unshared_tokens=500)
-    assert memory.held_tokens((A,)) == 0
-    assert memory.held_tokens((B,)) == 100
+    cache = PrefixCache(1000)
+    cache.record_use((A,), own_tokens=300)
+    assert cache.cached_tokens((A,)) == 100
+    cache.record_use((), own_tokens=500)
+    assert cache.cached_tokens((A,)) == 100
+    cache.record_use((B,), own_tokens=500)
+    assert cache.cached_tokens((A,)) == 0
+    assert cache.cached_tokens((B,)) == 100
 
 
 def test_restart_forgets_all() -> None:
-    memory = PrefixMemory(200)
-    memory.note_use((A, B))
-    memory.clear()
-    assert memory.held_tokens((A, B)) == 0
+    cache = PrefixCache(200)
+    cache.record_use((A, B))
+    cache.clear()
+    assert cache.cached_tokens((A, B)) == 0
 
 
 def test_fit_finds_the_line_behind_a_wrong_prior() -> None:
--- a/tests/core/test_recent_declines.py
+++ b/tests/core/test_recent_declines.py
@@ -3,9 +3,9 @@
 import pytest
 
 from lacewingspar_core.recent_declines import (
-    LONGEST_RETRY_FRACTION,
+    MAX_RETRY_AFTER_FRACTION,
     QUIET_SECONDS,
-    SPREAD_FRACTION,
+    RETRY_JITTER_FRACTION,
     RecentDeclines,
 )
 
@@ -34,16 +34,16 @@
 
 
 @pytest.mark.parametrize(
-    ("left_seconds", "expected"),
+    ("remaining_seconds", "expected"),
     [
-        (8.0, 0.4 * (1 + SPREAD_FRACTION)),
-        (1.0, LONGEST_RETRY_FRACTION * 1.0),
+        (8.0, 0.4 * (1 + RETRY_JITTER_FRACTION)),
+        (1.0, MAX_RETRY_AFTER_FRACTION * 1.0),
     ],
 )
 def test_caller_comes_back_in_the_time_that_it_has(
-    left_seconds: float, expected: float
+    remaining_seconds: float, expected: float
 ) -> None:
-    found = remembered().retry_after("large", "review", left_seconds, 10.0)
+    found = remembered().retry_after("large", "review", remaining_seconds, 10.0)
     assert found == pytest.approx(expected)
 
 
--- a/tests/core/test_upstream_trust.py
+++ b/tests/core/test_upstream_trust.py
@@ -7,8 +7,8 @@
 from lacewingspar_core.admission_events import RunOutcome
 from lacewingspar_core.upstream_trust import (
     FIRST_BLOCK_SECONDS,
-    LONGEST_BLOCK_SECONDS,
-    UpstreamTrust,
+    MAX_BLOCK_SECONDS,
+    CircuitBreaker,
 )
 
 
@@ -20,31 +20,31 @@
 ) -> None:
     """Guards against blocks for the failures that calls have anyway."""
     generator = random.Random(3)
-    trust = UpstreamTrust()
+    breaker = CircuitBreaker()
     blocks = 0
     for step in range(200):
         failed = generator.random() < failed_share
         outcome = RunOutcome.FAILED if failed else RunOutcome.COMPLETED
-        blocks += trust.note(outcome, step * 10.0)
+        blocks += breaker.record(outcome, step * 10.0)
     assert (blocks > 0) is is_blocked
 
 
 def test_blocks_of_an_unreachable_upstream_grow_and_end() -> None:
-    trust = UpstreamTrust()
+    breaker = CircuitBreaker()
     now, lengths = 0.0, []
     for _ in range(6):
-        assert trust.note_unreachable(now)
-        lengths.append(trust.blocked_until - now)
-        now = trust.blocked_until
-        assert not trust.is_blocked(now)
+        assert breaker.note_unreachable(now)
+        lengths.append(breaker.blocked_until - now)
+        now = breaker.blocked_until
+        assert not breaker.is_blocked(now)
     assert lengths[0] == FIRST_BLOCK_SECONDS
-    assert max(lengths) == LONGEST_BLOCK_SECONDS
-    trust.note(RunOutcome.COMPLETED, now)
-    trust.note_unreachable(now)
-    assert trust.blocked_until - now == FIRST_BLOCK_SECONDS
+    assert max(lengths) == MAX_BLOCK_SECONDS
+    breaker.record(RunOutcome.COMPLETED, now)
+    breaker.note_unreachable(now)
+    assert breaker.blocked_until - now == FIRST_BLOCK_SECONDS
 
 
 @pytest.mark.parametrize("outcome", [RunOutcome.NOT_RUN, RunOutcome.CANCELLED])
 def test_callers_that_leave_are_no_failure(outcome: RunOutcome) -> None:
-    trust = UpstreamTrust()
-    assert not any(trust.note(outcome, 0.0) for _ in range(50))
+    breaker = CircuitBreaker()
+    assert not any(breaker.record(outcome, 0.0) for _ in range(50))
