--- a/tests/core/engine_model.py
+++ b/tests/core/engine_model.py
@@ -1,8 +1,8 @@
-"""Model of a pool of engines and of its callers, in simulated time.
+"""Simulation of a pool of engines and its callers.
 
-An engine reads prompts one after the other in order of arrival, at a fixed
-rate, and keeps the shared parts that fit into its memory. A request leaves its
-engine a fixed time after its prompt was read.
+An engine prefills prompts sequentially in order of arrival at a fixed rate and
+caches the shared parts that fit into its KV cache. A request leaves its engine
+a fixed time after its prefill.
 """
 
 import heapq
@@ -26,7 +26,7 @@
 from lacewingspar_core.prefix_memory import PrefixCache, PromptPart
 from lacewingspar_core.routing import EngineProfile, UpstreamService
 
-HOLDER = RouterLife("router", 1)
+INGRESS_ROUTER = RouterLife("router", 1)
 PROFILE = EngineProfile(
     slots=64,
     memory_tokens=500_000,
@@ -34,9 +34,9 @@
     link_bytes_per_second=0.0,
 )
 SERVICE = UpstreamService("models", PROFILE)
-READ_TOKENS_PER_SECOND = 80_000.0
-WRITE_SECONDS = 0.8
-AIM_SECONDS = 0.4
+PREFILL_TOKENS_PER_SECOND = 80_000.0
+DECODE_SECONDS = 0.8
+LATENCY_TARGET_SECONDS = 0.4
 DEADLINE_SECONDS = 8.0
 
 
@@ -65,7 +65,7 @@
     **changes: Any,
 ) -> Admission:
     values: dict[str, Any] = {
-        "key": AdmissionKey(HOLDER, number),
+        "key": AdmissionKey(INGRESS_ROUTER, number),
         "workspace": workspace,
         "data_centre": "dc",
         "shared_parts": shared,
@@ -73,7 +73,7 @@
         "output_tokens": 0,
         "priority": 1,
         "arrived_at": now,
-        "aim_at": now + AIM_SECONDS,
+        "aim_at": now + LATENCY_TARGET_SECONDS,
         "deadline_at": now + DEADLINE_SECONDS,
     }
     return Admission(**values | changes)
@@ -81,41 +81,41 @@
 
 @dataclass(slots=True)
 class Engine:
-    """One engine."""
+    """A simulated engine."""
 
     free_at: float = 0.0
     prefix_cache: PrefixCache = field(
         default_factory=lambda: PrefixCache(PROFILE.memory_tokens)
     )
-    shared_tokens_read: int = 0
+    shared_tokens_prefilled: int = 0
 
     def read(self, request: Admission, now: float) -> float:
-        """Return when the prompt has been read."""
+        """Prefill a prompt and return when the prefill ends."""
         cached = self.prefix_cache.cached_tokens(request.shared_parts)
         shared = request.prompt_tokens - request.own_tokens
-        self.shared_tokens_read += shared - cached
+        self.shared_tokens_prefilled += shared - cached
         self.prefix_cache.record_use(request.shared_parts, request.own_tokens)
         tokens = request.prompt_tokens - cached
         begin = max(now, self.free_at)
-        self.free_at = begin + tokens / READ_TOKENS_PER_SECOND
+        self.free_at = begin + tokens / PREFILL_TOKENS_PER_SECOND
         return self.free_at
 
 
 @dataclass(slots=True)
 class WorkspaceResult:
-    """What the callers of one workspace got."""
+    """Results of the requests of one workspace."""
 
-    asked: int = 0
+    sent: int = 0
     on_time: int = 0
     late: int = 0
     declined: int = 0
-    declined_again: int = 0
-    longest_decline_seconds: float = 0.0
+    declined_retries: int = 0
+    max_decline_seconds: float = 0.0
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request of the load."""
+    """A request of the simulated load."""
 
     at: float
     workspace: str
@@ -132,7 +132,7 @@
     tokens: int,
     start: float = 0.0,
 ) -> Iterator[Arrival]:
-    """Yield requests whose prompts begin with one of some shared parts."""
+    """Yield Poisson arrivals whose prompts begin with a random shared part."""
     now = start
     while True:
         now += generator.expovariate(rate)
@@ -143,36 +143,35 @@
 
 
 class Simulation:
-    """Plays a load against the admission to a pool.
+    """Runs a load against the admission control of a pool.
 
     Args:
         engines: Number of engines.
-        callers_return: Whether a declined caller comes back once, when it was
-            told to.
+        callers_retry: Whether declined callers retry once, after Retry-After.
     """
 
-    def __init__(self, engines: int, *, callers_return: bool = False) -> None:
-        self._callers_return = callers_return
+    def __init__(self, engines: int, *, callers_retry: bool = False) -> None:
+        self._callers_retry = callers_retry
         self.pool = PoolAdmission("models/0")
         self.engine_by_id = {f"e{n}": Engine() for n in range(engines)}
         self.pool.set_upstreams(
             {name: entry(name) for name in self.engine_by_id},
             SERVICE,
-            READ_TOKENS_PER_SECOND,
+            PREFILL_TOKENS_PER_SECOND,
             0.0,
         )
         self.served_by_workspace: dict[str, WorkspaceResult] = {}
         self._admission_by_key: dict[AdmissionKey, Admission] = {}
         self._events: list[tuple[float, int, str, Any]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._served_keys: set[AdmissionKey] = set()
-        self._returned: set[int] = set()
+        self._retried: set[int] = set()
 
     def run(self, load: list[Arrival]) -> dict[str, WorkspaceResult]:
-        """Play a load to its end."""
-        for number, request in enumerate(sorted(load, key=lambda r: r.at)):
-            self._push(request.at, "ask", (number, request))
-        last = max(request.at for request in load) + DEADLINE_SECONDS
+        """Run a load to its end and return the results by workspace."""
+        for number, arrival in enumerate(sorted(load, key=lambda r: r.at)):
+            self._push(arrival.at, "ask", (number, arrival))
+        last = max(arrival.at for arrival in load) + DEADLINE_SECONDS
         for step in range(int(last * 10)):
             self._push(step / 10, "tick", None)
         while self._events:
@@ -180,46 +179,50 @@
             self._handle(kind, value, now)
         return self.served_by_workspace
 
-    def share_served(self, is_counted: Callable[[Admission], bool]) -> float:
-        """Return the share of some requests that were served, also late."""
+    def served_fraction(self, is_counted: Callable[[Admission], bool]) -> float:
+        """Return the fraction of counted requests served, on time or late."""
         counted = [
-            wish for wish in self._admission_by_key.values() if is_counted(wish)
+            request
+            for request in self._admission_by_key.values()
+            if is_counted(request)
+        ]
+        served = [
+            request for request in counted if request.key in self._served_keys
         ]
-        served = [wish for wish in counted if wish.key in self._served_keys]
         return len(served) / len(counted)
 
     def _push(self, at: float, kind: str, value: Any) -> None:
-        heapq.heappush(self._events, (at, next(self._order), kind, value))
+        heapq.heappush(self._events, (at, next(self._sequence), kind, value))
 
     def _handle(self, kind: str, value: Any, now: float) -> None:
         match kind:
             case "ask":
-                number, request = value
-                wish = admission(
+                number, arrival = value
+                request = admission(
                     number,
                     now,
-                    request.workspace,
-                    request.shared,
-                    request.tokens,
+                    arrival.workspace,
+                    arrival.shared,
+                    arrival.tokens,
                 )
-                wish = replace(wish, identity=number + 1)
-                self._admission_by_key[wish.key] = wish
-                self._served(wish).asked += 1
-                self._apply(self.pool.ask(wish, now), now)
-            case "return":
-                self._returned.add(value.identity)
+                request = replace(request, identity=number + 1)
+                self._admission_by_key[request.key] = request
+                self._served(request).sent += 1
+                self._apply(self.pool.ask(request, now), now)
+            case "retry":
+                self._retried.add(value.identity)
                 self._admission_by_key[value.key] = value
                 self._apply(self.pool.ask(value, now), now)
-            case "first":
-                wish = self._admission_by_key[value]
-                served = self._served(wish)
+            case "first_chunk":
+                request = self._admission_by_key[value]
+                served = self._served(request)
                 self._served_keys.add(value)
-                is_back = wish.identity in self._returned
-                if now <= wish.aim_at and not is_back:
+                is_retry = request.identity in self._retried
+                if now <= request.aim_at and not is_retry:
                     served.on_time += 1
                 else:
                     served.late += 1
-                self._push(now + WRITE_SECONDS, "end", value)
+                self._push(now + DECODE_SECONDS, "end", value)
                 self._apply(self.pool.note_first_part(value, now), now)
             case "end":
                 outcome = RunOutcome.COMPLETED
@@ -229,37 +232,37 @@
 
     def _apply(self, decisions: list[AdmissionDecision], now: float) -> None:
         for decision in decisions:
-            wish = self._admission_by_key[decision.key]
+            request = self._admission_by_key[decision.key]
             match decision:
                 case Granted(key, upstream_id, _):
                     engine = self.engine_by_id[upstream_id]
-                    self._push(engine.read(wish, now), "first", key)
+                    self._push(engine.read(request, now), "first_chunk", key)
                 case Declined():
-                    served = self._served(wish)
-                    if wish.identity in self._returned:
-                        served.declined_again += 1
-                    elif self._callers_return:
-                        self._send_back(wish, decision, now)
+                    served = self._served(request)
+                    if request.identity in self._retried:
+                        served.declined_retries += 1
+                    elif self._callers_retry:
+                        self._schedule_retry(request, decision, now)
                     served.declined += 1
-                    served.longest_decline_seconds = max(
-                        served.longest_decline_seconds, now - wish.arrived_at
+                    served.max_decline_seconds = max(
+                        served.max_decline_seconds, now - request.arrived_at
                     )
 
-    def _send_back(
-        self, wish: Admission, declined: Declined, now: float
+    def _schedule_retry(
+        self, request: Admission, declined: Declined, now: float
     ) -> None:
-        """Let a caller come back when it was told to."""
+        """Schedule a caller's retry after the returned Retry-After."""
         at = now + declined.retry_after_seconds
-        number = wish.key.number + 1_000_000
-        back = replace(
-            wish,
-            key=AdmissionKey(HOLDER, number),
+        number = request.key.number + 1_000_000
+        retry = replace(
+            request,
+            key=AdmissionKey(INGRESS_ROUTER, number),
             arrived_at=at,
-            aim_at=at + AIM_SECONDS,
+            aim_at=at + LATENCY_TARGET_SECONDS,
         )
-        self._push(at, "return", back)
+        self._push(at, "retry", retry)
 
-    def _served(self, wish: Admission) -> WorkspaceResult:
+    def _served(self, request: Admission) -> WorkspaceResult:
         return self.served_by_workspace.setdefault(
-            wish.workspace, WorkspaceResult()
+            request.workspace, WorkspaceResult()
         )
--- a/tests/core/entry_model.py
+++ b/tests/core/entry_model.py
@@ -1,8 +1,8 @@
-"""Model of the entry VMs of a data centre, their callers and a pool.
+"""Simulation of the entry VMs of a data centre, their callers and a pool.
 
-Time is simulated. Callers open connections through the platform's balancer,
-which chooses a VM by a hash of the caller. A VM has a fraction of a processor;
-work that it has taken and not done delays its event loop.
+Callers open connections through the platform's load balancer, which chooses a
+VM by a hash of the caller. A VM has a fraction of a CPU core; its backlog of
+work delays its event loop.
 """
 
 import heapq
@@ -25,24 +25,24 @@
 TICK_SECONDS = 0.01
 SAMPLE_SECONDS = 0.1
 PROCESSOR_SHARE = 0.516
-# Processor time of one connection, refusal, request and event of a stream:
+# CPU time of one connection, refusal, request and stream event, from
 # docs/incidents/callers-find-no-connection.md and docs/proof.md.
 ACCEPT_SECONDS = 170e-6
 REFUSE_SECONDS = 94e-6
 BEGIN_SECONDS = 2e-3
 EVENT_SECONDS = 80e-6
-# The same for a request that another VM forwards.
+# CPU time at this VM for a request that is handed over to another VM.
 RELAY_BEGIN_SECONDS = 0.7e-3
 RELAY_EVENT_SECONDS = 40e-6
 EVENTS = 24
 EVENT_INTERVAL_SECONDS = 0.045
-# Retry-After of a VM without room; a caller tries twice at most.
+# Range of the Retry-After of a full VM; a caller makes at most two attempts.
 RETRY_SECONDS = (0.8, 1.6)
-# Requests that the engines begin in a second; beyond it each workspace gets its
-# even share.
+# Requests that the engines start per second; above that rate each workspace
+# gets an equal share.
 POOL_REQUESTS_PER_SECOND = 300
 POOL_BURST = 30
-# Processor time of a request that the pool declines.
+# CPU time of a request that the pool declines.
 DECLINE_SECONDS = 1e-3
 
 
@@ -52,8 +52,8 @@
 
     Attributes:
         name: Name of the workspace.
-        requests_per_second: Requests without repeats.
-        hashes: Values of the balancer's hash that its callers have.
+        requests_per_second: Rate of requests, not counting retries.
+        hashes: Hash keys of its callers at the load balancer.
     """
 
     name: str
@@ -67,12 +67,12 @@
     seconds: float
     workspace: str
     is_last: bool
-    helper: str
+    neighbour_vm: str
 
 
 @dataclass(slots=True)
 class EntryVm:
-    """An entry VM with the decisions of a router."""
+    """An entry VM that uses the router's admission and hand-over logic."""
 
     name: str
     limit: EntryLimit = field(
@@ -86,10 +86,10 @@
     share: HandOverShare = field(default_factory=HandOverShare)
     neighbours: NeighbourLoads = field(default_factory=NeighbourLoads)
 
-    def offer(
+    def try_accept(
         self, workspace: str, others: Sequence["EntryVm"], now: float
     ) -> bool:
-        """Return whether a request of a workspace is taken."""
+        """Accept a request of a workspace if possible, and return whether."""
         if not self.limit.begin(workspace):
             return False
         if self.share.take_next():
@@ -98,26 +98,26 @@
                 [Neighbour(name, "") for name in vm_by_name], now
             )
             if neighbour is not None:
-                helper = vm_by_name[neighbour.router_id]
-                if helper.limit.begin(workspace):
-                    self._begin_relay(workspace, helper, now)
+                neighbour_vm = vm_by_name[neighbour.router_id]
+                if neighbour_vm.limit.begin(workspace):
+                    self._begin_relay(workspace, neighbour_vm, now)
                     return True
-                self.neighbours.skip(helper.name, now)
+                self.neighbours.skip(neighbour_vm.name, now)
         self.backlog_seconds += BEGIN_SECONDS
         self._add_stream(workspace, EVENT_SECONDS, "", now)
         return True
 
     def _begin_relay(
-        self, workspace: str, helper: "EntryVm", now: float
+        self, workspace: str, neighbour_vm: "EntryVm", now: float
     ) -> None:
-        self.neighbours.begin(helper.name)
+        self.neighbours.begin(neighbour_vm.name)
         self.backlog_seconds += RELAY_BEGIN_SECONDS
-        self._add_stream(workspace, RELAY_EVENT_SECONDS, helper.name, now)
-        helper.backlog_seconds += BEGIN_SECONDS
-        helper._add_stream(workspace, EVENT_SECONDS, "", now)
+        self._add_stream(workspace, RELAY_EVENT_SECONDS, neighbour_vm.name, now)
+        neighbour_vm.backlog_seconds += BEGIN_SECONDS
+        neighbour_vm._add_stream(workspace, EVENT_SECONDS, "", now)
 
     def _add_stream(
-        self, workspace: str, seconds: float, helper: str, now: float
+        self, workspace: str, seconds: float, neighbour_vm: str, now: float
     ) -> None:
         for number in range(1, EVENTS + 1):
             work = _Work(
@@ -125,31 +125,31 @@
                 seconds,
                 workspace,
                 number == EVENTS,
-                helper,
+                neighbour_vm,
             )
             heapq.heappush(self.streams, work)
 
     def advance(self, now: float) -> None:
-        """Do the work of one tick."""
+        """Process the work of one tick."""
         while self.streams and self.streams[0].due_at <= now:
             work = heapq.heappop(self.streams)
             self.backlog_seconds += work.seconds
             if work.is_last:
                 self.limit.end(work.workspace)
-                if work.helper:
-                    self.neighbours.end(work.helper)
+                if work.neighbour_vm:
+                    self.neighbours.end(work.neighbour_vm)
         done = PROCESSOR_SHARE * TICK_SECONDS
         self.backlog_seconds = max(0.0, self.backlog_seconds - done)
 
     def sample(self) -> None:
-        """Measure the delay of the event loop."""
+        """Record the simulated delay of the event loop."""
         delay = self.backlog_seconds / PROCESSOR_SHARE
         self.limit.note_delay(delay)
         self.share.note_delay(delay)
 
 
 class Pool:
-    """Engines that give each workspace its even share when they are full.
+    """Engines that give each workspace an equal share when they are full.
 
     Args:
         workspaces: Names of the workspaces.
@@ -161,7 +161,7 @@
         self._filled_at = 0.0
 
     def grants(self, workspace: str, now: float) -> bool:
-        """Return whether a request of a workspace is begun."""
+        """Start a request of a workspace if possible, and return whether."""
         gained = POOL_REQUESTS_PER_SECOND * (now - self._filled_at)
         self._filled_at = now
         own = self._room_by_workspace
@@ -176,36 +176,36 @@
 
 
 class DataCentre:
-    """Entry VMs, balancer and callers of one data centre.
+    """Entry VMs, load balancer and callers of one data centre.
 
     Attributes:
-        asked: Requests by second and workspace, without repeats.
-        served: Requests taken by second and workspace.
+        sent: Requests by second and workspace, not counting retries.
+        served: Accepted requests by second and workspace.
 
     Args:
         vms: Number of entry VMs.
-        workspaces: Workspaces whose callers are here.
+        workspaces: Workspaces with callers in the data centre.
     """
 
     def __init__(self, vms: int, workspaces: Sequence[Workspace]) -> None:
         self.vms = [EntryVm(f"vm-{number}") for number in range(vms)]
-        self.asked: dict[int, Counter[str]] = {}
+        self.sent: dict[int, Counter[str]] = {}
         self.served: dict[int, Counter[str]] = {}
         self._workspaces = workspaces
         self._pool = Pool([item.name for item in workspaces])
         self._random = random.Random(1)
-        self._owed: dict[str, float] = {}
-        self._returns: list[tuple[float, int, Workspace, str]] = []
-        self._numbers = itertools.count()
+        self._credit: dict[str, float] = {}
+        self._retries: list[tuple[float, int, Workspace, str]] = []
+        self._sequence = itertools.count()
 
     def run(self, seconds: float) -> None:
-        """Play some seconds."""
+        """Simulate a number of seconds."""
         for tick in range(round(seconds / TICK_SECONDS)):
             now = tick * TICK_SECONDS
             for workspace in self._workspaces:
                 self._ask(workspace, now)
-            while self._returns and self._returns[0][0] <= now:
-                _, _, workspace, caller = heapq.heappop(self._returns)
+            while self._retries and self._retries[0][0] <= now:
+                _, _, workspace, caller = heapq.heappop(self._retries)
                 self._try(self._new_connection(caller), workspace, now)
             for vm in self.vms:
                 vm.advance(now)
@@ -213,43 +213,52 @@
                     vm.sample()
 
     def least_share(self, workspace: str, window: int, start: int) -> float:
-        """Return the smallest share of a workspace in some seconds in a row.
+        """Return the smallest share of a workspace over all time windows.
 
-        It is what the workspace got, as a part of what it asked or of what the
-        best served one got, whichever is less.
+        The share is the ratio of its served requests to the smaller of its
+        sent requests and the served requests of the best served workspace.
+
+        Args:
+            workspace: Name of the workspace.
+            window: Length of a window in seconds.
+            start: First second of the first window.
         """
         shares = []
         for first in range(start, max(self.served) - window + 2):
             seconds = range(first, first + window)
             got = sum(self.served[second][workspace] for second in seconds)
-            owed = sum(
+            credit = sum(
                 min(
-                    self.asked[second][workspace],
+                    self.sent[second][workspace],
                     max(self.served[second].values()),
                 )
                 for second in seconds
             )
-            shares.append(got / owed)
+            shares.append(got / credit)
         return min(shares)
 
     def _ask(self, workspace: Workspace, now: float) -> None:
-        owed = self._owed.get(workspace.name, 0.0)
-        owed += workspace.requests_per_second * TICK_SECONDS
-        self._owed[workspace.name] = owed % 1
-        for _ in range(int(owed)):
-            self.asked.setdefault(int(now), Counter())[workspace.name] += 1
+        credit = self._credit.get(workspace.name, 0.0)
+        credit += workspace.requests_per_second * TICK_SECONDS
+        self._credit[workspace.name] = credit % 1
+        for _ in range(int(credit)):
+            self.sent.setdefault(int(now), Counter())[workspace.name] += 1
             caller = self._random.choice(workspace.hashes)
-            # First tries come on connections that were kept.
+            # First attempts use connections that are already open.
             vm = self._ranked(caller)[0]
             if not self._try(vm, workspace, now):
                 at = now + self._random.uniform(*RETRY_SECONDS)
-                number = next(self._numbers)
-                heapq.heappush(self._returns, (at, number, workspace, caller))
+                number = next(self._sequence)
+                heapq.heappush(self._retries, (at, number, workspace, caller))
 
     def _try(self, vm: EntryVm, workspace: Workspace, now: float) -> bool:
         served = self.served.setdefault(int(now), Counter())
-        is_known = vm.declines.retry_after(workspace.name, "", 1.0, now)
-        if is_known is not None or not vm.limit.has_room(workspace.name):
+        cached_retry_after = vm.declines.retry_after(
+            workspace.name, "", 1.0, now
+        )
+        if cached_retry_after is not None or not vm.limit.has_room(
+            workspace.name
+        ):
             vm.backlog_seconds += REFUSE_SECONDS
             return False
         if not self._pool.grants(workspace.name, now):
@@ -257,7 +266,7 @@
             vm.declines.note(workspace.name, "", 1.0, now)
             return False
         others = [item for item in self.vms if item is not vm]
-        if not vm.offer(workspace.name, others, now):
+        if not vm.try_accept(workspace.name, others, now):
             return False
         served[workspace.name] += 1
         return True
--- a/tests/core/test_entry_limit.py
+++ b/tests/core/test_entry_limit.py
@@ -1,4 +1,4 @@
-"""Requests that one router works on at once."""
+"""Tests of the adaptive concurrency limit of a router."""
 
 import random
 from collections import Counter, deque
@@ -16,7 +16,7 @@
 
 
 def loaded(**active_by_workspace: int) -> EntryLimit:
-    """Return the limit of a fast processor with requests under way."""
+    """Return the limit of a fast router with requests in flight."""
     limit = EntryLimit(processors=10.0)
     for workspace, active in active_by_workspace.items():
         for _ in range(active):
@@ -53,8 +53,8 @@
     assert limit.limit == LEAST_LIMIT
 
 
-def test_small_workspace_is_served_beside_a_large_one() -> None:
-    """Guards against one workspace that shuts out all others of its VM."""
+def test_small_workspace_is_accepted_beside_a_large_one() -> None:
+    """Guards against one workspace that locks out all others at its VM."""
     limit = loaded(large=100, small=3)
     late(limit, 2)
     assert not limit.begin("large")
@@ -63,13 +63,14 @@
 
 
 @pytest.mark.parametrize("offered_per_second", [150.0, 600.0])
-def test_requests_that_are_let_in_are_served_soon(
+def test_accepted_requests_are_served_soon(
     offered_per_second: float,
 ) -> None:
-    """Load: one VM forwards 200 requests a second and gets fewer, or more.
+    """Guards against needless refusals and against long queues.
 
-    The limit must refuse nothing in the first case, and keep the processor
-    busy and the others' time in the queue short in the second one.
+    Load: a VM that forwards 200 requests per second gets fewer or more. The
+    limit must refuse nothing in the first case. In the second case it must
+    keep the CPU busy and the queueing time of accepted requests short.
     """
     generator = random.Random(1)
     limit, queue = EntryLimit(), deque[float]()
@@ -103,13 +104,13 @@
     ("times_the_limit", "expected"),
     [(2.0, 800), (4.0, 1000), (5.0, 400), (10.0, 200), (40.0, 100)],
 )
-def test_loop_that_is_seconds_late_is_relieved_at_once(
+def test_limit_falls_at_once_when_the_loop_is_seconds_late(
     times_the_limit: float, expected: int
 ) -> None:
     """Guards against a router that accepts no connection for seconds.
 
-    Load: 1000 requests are under way, and one round of the loop takes as long
-    as they need.
+    Load: 1000 requests are in flight, and one iteration of the event loop
+    processes them all.
     """
     delay_seconds = times_the_limit * MAX_LOOP_DELAY_SECONDS
     limit = loaded(a=1000)
@@ -119,10 +120,10 @@
     assert min(limit.limit, limit.active) == expected
 
 
-def test_burst_after_a_quiet_time_meets_a_limit() -> None:
-    """Guards against a limit that grows without end while it is not used.
+def test_limit_does_not_grow_while_it_is_not_used() -> None:
+    """Guards against a limit that grows without bound while it is not used.
 
-    Load: after a quiet minute 1000 requests arrive between two samples.
+    Load: after a quiet minute, 1000 requests arrive between two samples.
     """
     limit = EntryLimit(processors=0.5)
     first = limit.limit
--- a/tests/core/test_entry_share.py
+++ b/tests/core/test_entry_share.py
@@ -1,10 +1,10 @@
-"""What a workspace gets whose callers come to one entry VM."""
+"""Fair share of a workspace whose callers all connect to one entry VM."""
 
 import pytest
 from tests.core.entry_model import DataCentre, Workspace
 
-# Rule of the users: in six seconds, half of what the workspace asked or of what
-# the best served one got.
+# The users' requirement: in any six seconds, a workspace gets at least half of
+# what it requested or half of what the best served one got, whichever is less.
 WINDOW_SECONDS = 6
 LEAST_SHARE = 0.5
 START_SECONDS = 4
@@ -14,7 +14,7 @@
 def test_callers_at_one_vm_get_as_much_as_callers_at_several(
     spread: int,
 ) -> None:
-    """Guards against a share that is set by the processor of one VM."""
+    """Guards against a share that is limited by the CPU of one VM."""
     one = Workspace("one", 550, ("caller",))
     hashes = tuple(f"several-{number}" for number in range(spread))
     several = Workspace("several", 550, hashes)
--- a/tests/core/test_hand_over.py
+++ b/tests/core/test_hand_over.py
@@ -1,4 +1,4 @@
-"""Which requests a router hands over, and to which neighbour."""
+"""Tests of the hand-over of requests to neighbour routers."""
 
 import pytest
 
@@ -37,7 +37,7 @@
     )
 
 
-def test_router_in_time_hands_nothing_over() -> None:
+def test_router_without_delay_hands_nothing_over() -> None:
     share = HandOverShare()
     for _ in range(50):
         share.note_delay(IN_TIME)
@@ -53,8 +53,8 @@
     assert share.is_busy
 
 
-def test_router_in_time_again_takes_its_requests_back_slowly() -> None:
-    """Guards against swings between all and none."""
+def test_share_falls_slowly_after_an_overload() -> None:
+    """Guards against oscillation between handing over all and none."""
     share = HandOverShare()
     for _ in range(10):
         share.note_delay(LATE)
@@ -75,12 +75,12 @@
         ([record("b", RouterState.STARTING)], []),
         ([record("b", data_centre="other")], []),
         ([record("b", caller_address="")], []),
-        # A router that may own pools helps only where there is no other.
+        # A router that may own pools is eligible only if there is no other.
         ([record("b", capacity=2.0), record("c")], ["c"]),
         ([record("b", capacity=2.0)], ["b"]),
     ],
 )
-def test_neighbours_that_help(
+def test_eligible_neighbours(
     others: list[MemberRecord], expected: list[str]
 ) -> None:
     records = {item.life.router_id: item for item in [record("a"), *others]}
@@ -88,7 +88,7 @@
     assert [item.router_id for item in found] == expected
 
 
-def test_neighbour_with_the_fewest_requests_is_next() -> None:
+def test_least_loaded_neighbour_is_chosen() -> None:
     loads = NeighbourLoads()
     neighbours = [Neighbour(name, "") for name in "abc"]
     chosen = []
@@ -103,7 +103,7 @@
     assert loads.under_way == 5
 
 
-def test_neighbour_that_failed_is_left_out_for_a_while() -> None:
+def test_failed_neighbour_is_excluded_for_a_while() -> None:
     loads = NeighbourLoads()
     neighbours = [Neighbour("a", "")]
     loads.skip("a", 10.0)
@@ -112,7 +112,7 @@
 
 
 def test_requests_at_neighbours_are_bounded() -> None:
-    """Guards against a router that runs out of descriptors."""
+    """Guards against a router that runs out of file descriptors."""
     loads = NeighbourLoads(most=2)
     neighbours = [Neighbour("a", ""), Neighbour("b", "")]
     loads.begin("a")
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -1,4 +1,4 @@
-"""Work that the choice of an upstream takes."""
+"""Tests of the work that the choice of an upstream takes."""
 
 from typing import Any
 
@@ -10,34 +10,39 @@
 from lacewingspar_core.upstream_load import EngineLoad
 
 ENGINES = 16
-RATE = 80_000.0
-# More than half of what an engine may have to read at once, so that no other
-# request of this length fits beside it.
-LONG = 6000
+PREFILL_TOKENS_PER_SECOND = 80_000.0
+# More than half of the maximum prefill backlog of an engine, so that no second
+# request of this length fits.
+LONG_PROMPT_TOKENS = 6000
 
 
 def full_pool() -> tuple[PoolAdmission, list[Admission]]:
-    """Return a pool in which each engine reads one long prompt."""
+    """Return a pool in which each engine prefills one long prompt."""
     pool = PoolAdmission("models/0")
     engines = {f"e{number}": entry(f"e{number}") for number in range(ENGINES)}
-    pool.set_upstreams(engines, SERVICE, RATE, 0.0)
-    running = [admission(number, 0.0, tokens=LONG) for number in range(ENGINES)]
+    pool.set_upstreams(engines, SERVICE, PREFILL_TOKENS_PER_SECOND, 0.0)
+    running = [
+        admission(number, 0.0, tokens=LONG_PROMPT_TOKENS)
+        for number in range(ENGINES)
+    ]
     for request in running:
         pool.ask(request, 0.0)
     return pool, running
 
 
 @pytest.mark.parametrize("waiting", [1, 3])
-def test_event_of_one_engine_does_not_compare_all_of_them(
+def test_event_of_one_engine_does_not_assess_all_engines(
     monkeypatch: pytest.MonkeyPatch, waiting: int
 ) -> None:
-    """Guards against a pool whose owner cannot keep up.
+    """Guards against a pool owner that can't keep up with the events.
 
-    Load: requests wait while each of 16 engines reads a long prompt.
+    Load: requests wait while each of 16 engines prefills a long prompt.
     """
     pool, running = full_pool()
     for number in range(waiting):
-        request = admission(100 + number, 0.0, f"w{number}", tokens=LONG)
+        request = admission(
+            100 + number, 0.0, f"w{number}", tokens=LONG_PROMPT_TOKENS
+        )
         pool.ask(request, 0.0)
     assessed = 0
     assess = EngineLoad.assess
@@ -52,6 +57,6 @@
         running[0].key, 0.01
     )
     assert len(decisions) == 1
-    # The engine that changed and the one that suits the request best, for
-    # each request before the grant and for each that still waits after it.
+    # For each request, before the grant and again after it: the engine that
+    # changed and the best engine of the request.
     assert assessed <= 2 * 2 * waiting
--- a/tests/core/test_pool_admission.py
+++ b/tests/core/test_pool_admission.py
@@ -1,12 +1,12 @@
-"""Admission to a pool: rules one by one, then loads and what callers get."""
+"""Tests of pool admission: single rules, then results under load."""
 
 import random
 from dataclasses import replace
 
 import pytest
 from tests.core.engine_model import (
-    HOLDER,
-    READ_TOKENS_PER_SECOND,
+    INGRESS_ROUTER,
+    PREFILL_TOKENS_PER_SECOND,
     SERVICE,
     Simulation,
     admission,
@@ -29,13 +29,13 @@
 from lacewingspar_core.upstream_trust import FIRST_BLOCK_SECONDS
 
 PART = PromptPart(7, 5000)
-LARGE = 60_000
+LARGE_PROMPT_TOKENS = 60_000
 
 
 def make_pool(*upstream_ids: str) -> PoolAdmission:
     pool = PoolAdmission("models/0")
     entries = {name: entry(name) for name in upstream_ids}
-    pool.set_upstreams(entries, SERVICE, READ_TOKENS_PER_SECOND, 0.0)
+    pool.set_upstreams(entries, SERVICE, PREFILL_TOKENS_PER_SECOND, 0.0)
     return pool
 
 
@@ -44,8 +44,8 @@
     return granted.upstream_id
 
 
-def test_prompts_with_a_shared_part_go_where_it_was_read() -> None:
-    """Guards against shared parts that every engine reads."""
+def test_prompts_with_a_shared_part_go_to_the_engine_that_cached_it() -> None:
+    """Guards against a shared part that every engine prefills."""
     pool = make_pool("a", "b", "c")
     used = set()
     for number in range(6):
@@ -56,32 +56,37 @@
     assert len(used) == 1
 
 
-def test_owners_that_follow_each_other_choose_the_same_engine() -> None:
-    """Guards against a cold start of all engines at a change of owner."""
+def test_successive_owners_choose_the_same_engine() -> None:
+    """Guards against cold caches of all engines when the pool owner changes."""
     requests = [
         admission(n, 0.0, shared=(PromptPart(n, 5000),)) for n in range(9)
     ]
 
-    def homes() -> list[str]:
+    def chosen_upstreams() -> list[str]:
         return [
             upstream_of(make_pool("a", "b", "c").ask(request, 0.0))
             for request in requests
         ]
 
-    assert homes() == homes()
-    assert len(set(homes())) == 3
+    assert chosen_upstreams() == chosen_upstreams()
+    assert len(set(chosen_upstreams())) == 3
 
 
-def test_full_engines_make_requests_wait_and_the_next_room_is_granted() -> None:
+def test_request_is_queued_while_engines_are_full_and_then_granted() -> None:
     pool = make_pool("a")
-    assert upstream_of(pool.ask(admission(1, 0.0, tokens=LARGE), 0.0)) == "a"
+    assert (
+        upstream_of(
+            pool.ask(admission(1, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)
+        )
+        == "a"
+    )
     (queued,) = pool.ask(admission(2, 0.0), 0.0)
     assert isinstance(queued, Queued)
     assert upstream_of(pool.note_first_part(admission(1, 0.0).key, 0.2)) == "a"
 
 
-def test_repeated_question_is_answered_again() -> None:
-    """Guards against a second grant after a lost reply."""
+def test_repeated_request_returns_the_same_grant() -> None:
+    """Guards against a second grant after the first one was lost."""
     pool = make_pool("a")
     request = admission(1, 0.0)
     assert upstream_of(pool.ask(request, 0.0)) == "a"
@@ -105,10 +110,10 @@
     assert decision.retry_after_seconds > 0
 
 
-def test_answer_that_cannot_end_in_time_is_not_begun() -> None:
-    """Guards against answers that are cut at the deadline of their caller.
+def test_response_that_cannot_end_in_time_is_declined() -> None:
+    """Guards against responses that are cut off at the deadline.
 
-    Load: engines that write a token in 20 ms, and a request for 300 tokens.
+    Load: engines that generate a token in 20 ms get a request for 300 tokens.
     """
     pool = make_pool("a")
     now = 0.0
@@ -120,7 +125,7 @@
         pool.note_first_part(request.key, now + 0.1)
         pool.end(request.key, RunOutcome.COMPLETED, now + 2.1)
         now += 3.0
-    # The whole answer takes 6 s.
+    # The whole response takes 6 s.
     for left, expected in ((8.0, Granted), (3.0, Declined)):
         request = admission(
             int(now), now, output_tokens=300, deadline_at=now + left
@@ -130,62 +135,66 @@
         now += 3.0
 
 
-def test_unreachable_upstream_is_left_out_until_its_block_ends() -> None:
+def test_unreachable_upstream_is_excluded_until_its_block_ends() -> None:
     pool = make_pool("a", "b")
     request = admission(1, 0.0, shared=(PART,))
-    home = upstream_of(pool.ask(request, 0.0))
+    affinity = upstream_of(pool.ask(request, 0.0))
     pool.end(request.key, RunOutcome.NOT_RUN, 0.0)
-    pool.note_unreachable(home, 0.0)
+    pool.note_unreachable(affinity, 0.0)
     other = admission(2, 0.0, shared=(PART,))
-    assert upstream_of(pool.ask(other, 0.0)) != home
+    assert upstream_of(pool.ask(other, 0.0)) != affinity
 
 
-def test_one_request_tries_an_upstream_after_its_block() -> None:
-    """Guards against requests that all wait for a dead upstream again.
+def test_one_request_probes_an_upstream_after_its_block() -> None:
+    """Guards against sending all requests to a dead upstream after its block.
 
-    Load: requests for a shared part whose engine accepts no connection.
+    Load: requests with a shared part whose engine accepts no connection.
     """
     pool = make_pool("a", "b")
     request = admission(1, 0.0, shared=(PART,))
-    home = upstream_of(pool.ask(request, 0.0))
-    pool.note_unreachable(home, 0.0)
+    affinity = upstream_of(pool.ask(request, 0.0))
+    pool.note_unreachable(affinity, 0.0)
     pool.end(request.key, RunOutcome.NOT_RUN, 0.0)
     after = 0.0 + FIRST_BLOCK_SECONDS
     requests = [
         admission(n, after, shared=(PART,), tokens=10) for n in (2, 3, 4)
     ]
     chosen = [upstream_of(pool.ask(request, after)) for request in requests]
-    assert chosen.count(home) == 1
-    (trial,) = [w for w, u in zip(requests, chosen, strict=True) if u == home]
+    assert chosen.count(affinity) == 1
+    (trial,) = [
+        w for w, u in zip(requests, chosen, strict=True) if u == affinity
+    ]
     pool.note_first_part(trial.key, after + 0.1)
     last = admission(5, after + 0.1, shared=(PART,), tokens=10)
-    assert upstream_of(pool.ask(last, after + 0.1)) == home
+    assert upstream_of(pool.ask(last, after + 0.1)) == affinity
 
 
-def test_pool_without_trusted_upstreams_still_tries() -> None:
-    """Guards against an outage that outlasts its cause."""
+def test_pool_whose_upstreams_are_all_blocked_still_tries() -> None:
+    """Guards against an outage that continues after the upstreams recover."""
     pool = make_pool("a")
     pool.note_unreachable("a", 0.0)
     assert upstream_of(pool.ask(admission(1, 0.0), 0.0)) == "a"
 
 
-def test_new_owner_learns_of_runs_and_drops_those_that_ended() -> None:
+def test_new_owner_adds_reported_runs_and_drops_ended_ones() -> None:
     pool = make_pool("a")
     key = admission(1, 0.0).key
-    run = ActiveRun(key, "a", LARGE, LARGE, 8.0, 0.0)
-    pool.reconcile(HOLDER, [run], 0.0)
+    run = ActiveRun(
+        key, "a", LARGE_PROMPT_TOKENS, LARGE_PROMPT_TOKENS, 8.0, 0.0
+    )
+    pool.reconcile(INGRESS_ROUTER, [run], 0.0)
     assert pool.running == 1
     (queued,) = pool.ask(admission(2, 0.0), 0.0)
     assert isinstance(queued, Queued)
-    decisions = pool.reconcile(HOLDER, [], 2.0)
+    decisions = pool.reconcile(INGRESS_ROUTER, [], 2.0)
     assert upstream_of(decisions) == "a"
 
 
-def test_requests_of_a_router_that_is_gone_are_dropped() -> None:
+def test_requests_of_a_dead_router_are_dropped() -> None:
     pool = make_pool("a")
-    pool.ask(admission(1, 0.0, tokens=LARGE), 0.0)
+    pool.ask(admission(1, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)
     pool.ask(admission(2, 0.0), 0.0)
-    assert pool.forget_holder(HOLDER, 0.1) == []
+    assert pool.forget_holder(INGRESS_ROUTER, 0.1) == []
     assert (pool.running, pool.waiting) == (0, 0)
     other = replace(admission(3, 0.1), key=admission(3, 0.1).key)
     assert upstream_of(pool.ask(other, 0.1)) == "a"
@@ -203,28 +212,31 @@
 
 
 def test_steady_load_below_capacity_is_served_in_time() -> None:
-    """Guards against refusals and re-reads where there is room.
+    """Guards against declines and repeated prefill while there is capacity.
 
-    Load: 4 engines at 60% of their reading rate, 40 shared parts, after a
-    third of that for 3 s in which the parts are read for the first time.
+    Load: 4 engines at 60% of their prefill rate and 40 shared parts, after 3 s
+    at a third of that load in which the parts are prefilled the first time.
     """
     generator = random.Random(5)
     load = list(poisson(generator, 32.0, 3.0, "w", 40, 2000))
     load += poisson(generator, 96.0, 20.0, "w", 40, 2000, start=3.0)
-    play = Simulation(4)
-    served = play.run(load)["w"]
+    simulation = Simulation(4)
+    served = simulation.run(load)["w"]
     assert served.declined == 0
-    assert served.on_time >= 0.97 * served.asked
-    read = sum(item.shared_tokens_read for item in play.engine_by_id.values())
-    # Each shared part has to be read once at least; twice is the target.
+    assert served.on_time >= 0.97 * served.sent
+    read = sum(
+        item.shared_tokens_prefilled
+        for item in simulation.engine_by_id.values()
+    )
+    # Each shared part is prefilled at least once; at most twice is the target.
     assert read <= 2 * 40 * 5000
 
 
 def test_large_workspace_does_not_starve_small_ones() -> None:
-    """Guards against a workspace that takes the engines for itself.
+    """Guards against a workspace that monopolizes the engines.
 
-    Load: one workspace asks for twice what all engines can read, five small
-    ones for 4% each.
+    Load: one workspace sends twice the prefill capacity of all engines, and
+    five small ones send 4% each.
     """
     generator = random.Random(6)
     load = list(poisson(generator, 320.0, 8.0, "large", 20, 2000))
@@ -232,35 +244,37 @@
         load += poisson(generator, 6.0, 8.0, name, 20, 2000)
     served = Simulation(4).run(load)
     for name in ("s1", "s2", "s3", "s4", "s5"):
-        assert served[name].on_time >= 0.9 * served[name].asked, name
+        assert served[name].on_time >= 0.9 * served[name].sent, name
     large = served["large"]
-    # What the small ones leave is used: 80% of the engines, a third of what
-    # the large one asks.
-    assert large.on_time + large.late >= 0.33 * large.asked
+    # The large workspace uses the rest of the engines: 80% of their capacity, a
+    # third of its load.
+    assert large.on_time + large.late >= 0.33 * large.sent
 
 
 def test_long_prompts_do_not_starve_behind_short_ones() -> None:
-    """Guards against small requests that fill each gap of the engines.
+    """Guards against small requests that take every free slot of the engines.
 
-    Load: one workspace asks for 1.3 times what the engines can read, 40% of
-    it in prompts of 16,000 tokens, the rest in prompts of 1,000.
+    Load: one workspace sends 1.3 times the prefill capacity, 40% of it in
+    prompts of 16,000 tokens and the rest in prompts of 1,000.
     """
     generator = random.Random(8)
-    total = 1.3 * 4 * READ_TOKENS_PER_SECOND
+    total = 1.3 * 4 * PREFILL_TOKENS_PER_SECOND
     load = list(poisson(generator, 0.6 * total / 1000, 8.0, "w", 4, 1000))
     long = list(poisson(generator, 0.4 * total / 16_000, 8.0, "w", 4, 16_000))
-    play = Simulation(4)
-    play.run(load + long)
-    served = play.share_served(lambda request: request.own_tokens == 16_000)
-    everybody = play.share_served(lambda _: True)
+    simulation = Simulation(4)
+    simulation.run(load + long)
+    served = simulation.served_fraction(
+        lambda request: request.own_tokens == 16_000
+    )
+    everybody = simulation.served_fraction(lambda _: True)
     assert served >= 0.5 * everybody
 
 
 def test_overload_refuses_at_once_and_keeps_the_rest_in_time() -> None:
-    """Guards against queues in which everybody comes too late.
+    """Guards against queues in which every request misses its target.
 
-    Load: 20 equal workspaces that together ask for 1.6 times what the
-    engines can read.
+    Load: 20 equal workspaces that together send 1.6 times the prefill
+    capacity of the engines.
     """
     generator = random.Random(7)
     load = [
@@ -269,20 +283,20 @@
         for request in poisson(generator, 12.8, 20.0, f"w{number}", 60, 2000)
     ]
     served = Simulation(4).run(load)
-    asked = sum(item.asked for item in served.values())
+    sent = sum(item.sent for item in served.values())
     on_time = sum(item.on_time for item in served.values())
     late = sum(item.late for item in served.values())
-    assert on_time >= 0.5 * asked
-    assert late <= 0.1 * asked
-    shares = [item.on_time / item.asked for item in served.values()]
+    assert on_time >= 0.5 * sent
+    assert late <= 0.1 * sent
+    shares = [item.on_time / item.sent for item in served.values()]
     assert min(shares) >= 0.5 * max(shares)
 
 
-def test_callers_that_come_back_do_not_make_the_others_late() -> None:
-    """Guards against an overload in which almost every answer is late.
+def test_retries_do_not_make_other_requests_late() -> None:
+    """Guards against an overload in which almost every response is late.
 
-    Load: 10 equal workspaces that together ask for 1.3 times what the engines
-    can read; a declined caller comes back once, when it was told to.
+    Load: 10 equal workspaces that together send 1.3 times the prefill capacity
+    of the engines; declined callers retry once, after Retry-After.
     """
     generator = random.Random(9)
     load = [
@@ -290,32 +304,34 @@
         for number in range(10)
         for request in poisson(generator, 20.8, 16.0, f"w{number}", 60, 2000)
     ]
-    served = Simulation(4, callers_return=True).run(load)
-    asked = sum(item.asked for item in served.values())
+    served = Simulation(4, callers_retry=True).run(load)
+    sent = sum(item.sent for item in served.values())
     on_time = sum(item.on_time for item in served.values())
     late = sum(item.late for item in served.values())
-    # The engines can read 77% of it.
-    assert on_time >= 0.55 * asked
-    assert on_time + late >= 0.68 * asked
+    # The prefill capacity of the engines is 77% of the load.
+    assert on_time >= 0.55 * sent
+    assert on_time + late >= 0.68 * sent
 
 
-@pytest.mark.parametrize("is_returned", [False, True])
-def test_nobody_waits_until_the_caller_gives_up(*, is_returned: bool) -> None:
-    """Guards against requests that are held for nothing, then refused.
+@pytest.mark.parametrize("is_retry", [False, True])
+def test_request_is_declined_before_its_first_chunk_timeout(
+    *, is_retry: bool
+) -> None:
+    """Guards against requests that stay queued past their first-chunk timeout.
 
-    Load: an engine is full for longer than the callers of two requests wait
-    for the first part, which is less than their whole deadline.
+    Load: an engine is full for longer than the first-chunk timeout of a
+    request, which ends before its deadline.
     """
     pool = make_pool("a")
     number = 0
-    while pool.ask(admission(number, 0.0, tokens=LARGE), 0.0)[0].__class__ is (
-        Granted
-    ):
+    while pool.ask(admission(number, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)[
+        0
+    ].__class__ is (Granted):
         number += 1
     late = admission(
         1000,
         0.0,
-        aim_at=-1.0 if is_returned else 0.8,
+        aim_at=-1.0 if is_retry else 0.8,
         deadline_at=12.0,
         patience_seconds=3.2,
     )
--- a/tests/core/test_prefix_memory.py
+++ b/tests/core/test_prefix_memory.py
@@ -1,4 +1,4 @@
-"""Model of the prompt parts that an engine holds, and the fitted line."""
+"""Tests of the prefix cache model and the linear fit."""
 
 import pytest
 
@@ -24,17 +24,17 @@
     asked: tuple[PromptPart, ...],
     cached: int,
 ) -> None:
-    """Guards against parts that count as held after they were pushed out."""
+    """Guards against parts that count as cached after their eviction."""
     cache = PrefixCache(200)
     for parts in used:
         cache.record_use(parts)
     assert cache.cached_tokens(asked) == cached
 
 
-def test_what_is_not_shared_pushes_shared_parts_out() -> None:
-    """Guards against parts that count as held long after they were dropped.
+def test_unshared_tokens_evict_shared_parts() -> None:
+    """Guards against parts that count as cached long after their eviction.
 
-    Load: a part that is used once, then requests without it.
+    Load: a part is used once, and further requests don't contain it.
     """
     cache = PrefixCache(1000)
     cache.record_use((A,), own_tokens=300)
@@ -46,7 +46,7 @@
     assert cache.cached_tokens((B,)) == 100
 
 
-def test_restart_forgets_all() -> None:
+def test_restart_clears_the_cache() -> None:
     cache = PrefixCache(200)
     cache.record_use((A, B))
     cache.clear()
--- a/tests/core/test_recent_declines.py
+++ b/tests/core/test_recent_declines.py
@@ -1,4 +1,4 @@
-"""Declines that are remembered for a moment."""
+"""Tests of the cache of overload declines."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 )
 
 
-def remembered() -> RecentDeclines:
+def cached_decline() -> RecentDeclines:
     declines = RecentDeclines(max)
     declines.note("large", "review", 0.4, 10.0)
     return declines
@@ -29,7 +29,9 @@
 def test_decline_holds_for_its_workspace_and_route_for_a_moment(
     workspace: str, route: str, age_seconds: float, *, is_known: bool
 ) -> None:
-    found = remembered().retry_after(workspace, route, 8.0, 10.0 + age_seconds)
+    found = cached_decline().retry_after(
+        workspace, route, 8.0, 10.0 + age_seconds
+    )
     assert (found is not None) == is_known
 
 
@@ -43,12 +45,14 @@
 def test_caller_comes_back_in_the_time_that_it_has(
     remaining_seconds: float, expected: float
 ) -> None:
-    found = remembered().retry_after("large", "review", remaining_seconds, 10.0)
+    found = cached_decline().retry_after(
+        "large", "review", remaining_seconds, 10.0
+    )
     assert found == pytest.approx(expected)
 
 
-def test_old_declines_are_forgotten() -> None:
-    declines = remembered()
+def test_expired_declines_are_removed() -> None:
+    declines = cached_decline()
     assert not declines.is_empty(10.0)
     assert declines.is_empty(10.0 + QUIET_SECONDS)
     assert declines.is_empty(10.0)
--- a/tests/core/test_retry_allowance.py
+++ b/tests/core/test_retry_allowance.py
@@ -1,4 +1,4 @@
-"""Second sends of all routers together stay within the fleet's bound."""
+"""Tests that the retries of all routers stay within the fleet's limit."""
 
 import random
 
@@ -14,8 +14,8 @@
 def test_fleet_keeps_its_bound(routers: int, rate: float) -> None:
     """Guards against a retry storm when every upstream fails.
 
-    Load: requests at a steady rate over the fleet, unevenly spread; every
-    one fails and asks for a second send at each router as often as it can.
+    Load: a steady rate of requests, unevenly spread over the fleet. All fail,
+    and every router retries as often as its budget allows.
     """
     generator = random.Random(1)
     allowances = [RetryAllowance(BOUND) for _ in range(routers)]
@@ -34,13 +34,13 @@
         in_window = [t for t in retries if end - 10.0 <= t <= end]
         asked = [t for t in requests if end - 10.0 <= t <= end]
         assert len(in_window) <= 0.2 * len(asked) + 54
-        # Half of the bound is used at least where one router can use it.
+        # A single router can use about half of the limit.
         if routers == 1:
             assert len(in_window) >= 0.08 * len(asked) + 20
 
 
 def test_restarted_routers_do_not_break_the_bound() -> None:
-    """Guards against restarts that each bring a new allowance."""
+    """Guards against a new full budget at each restart."""
     retries = 0
     for _ in range(2):
         allowances = [RetryAllowance(BOUND) for _ in range(7)]
--- a/tests/core/test_upstream_trust.py
+++ b/tests/core/test_upstream_trust.py
@@ -1,4 +1,4 @@
-"""Blocks of upstreams that fail."""
+"""Tests of the circuit breaker of an upstream."""
 
 import random
 
@@ -15,10 +15,8 @@
 @pytest.mark.parametrize(
     ("failed_share", "is_blocked"), [(0.05, False), (0.5, True)]
 )
-def test_share_of_failures_decides(
-    failed_share: float, is_blocked: bool
-) -> None:
-    """Guards against blocks for the failures that calls have anyway."""
+def test_failure_rate_decides(failed_share: float, is_blocked: bool) -> None:
+    """Guards against blocks for the usual failure rate of healthy upstreams."""
     generator = random.Random(3)
     breaker = CircuitBreaker()
     blocks = 0
@@ -45,6 +43,8 @@
 
 
 @pytest.mark.parametrize("outcome", [RunOutcome.NOT_RUN, RunOutcome.CANCELLED])
-def test_callers_that_leave_are_no_failure(outcome: RunOutcome) -> None:
+def test_cancelled_and_refused_runs_are_no_failures(
+    outcome: RunOutcome,
+) -> None:
     breaker = CircuitBreaker()
     assert not any(breaker.record(outcome, 0.0) for _ in range(50))
--- a/tests/core/test_workspace_tally.py
+++ b/tests/core/test_workspace_tally.py
@@ -1,4 +1,4 @@
-"""Sums by workspace between two reports."""
+"""Tests of the totals by workspace."""
 
 from lacewingspar_core.workspace_tally import (
     MAX_REPORTED_WORKSPACES,
@@ -6,7 +6,7 @@
 )
 
 
-def test_report_names_the_largest_and_begins_anew() -> None:
+def test_largest_totals_are_returned_and_all_are_reset() -> None:
     tally = WorkspaceTally()
     for number in range(MAX_REPORTED_WORKSPACES + 2):
         tally.add(f"w{number}", number + 1)
