--- a/packages/core/src/lacewingspar_core/adaptive_limit.py
+++ b/packages/core/src/lacewingspar_core/adaptive_limit.py
@@ -1,46 +1,51 @@
-"""Concurrency limit of one upstream, adapted from its load reports.
+"""Concurrency limit of one upstream, adapted to its load reports.
 
-Reported waiting requests lower the limit. Slow answers alone never do, since
-an upstream that only serves long requests is slow without being overloaded:
-latency counts only against the upstream's own moving baseline, and only while
-the upstream also reports waiting requests.
+The limit decreases when the upstream reports waiting requests. Latency is
+compared with the moving baseline of the same upstream and counts only while the
+upstream also reports waiting requests, because long requests are slow without
+an overload.
 """
 
 from dataclasses import dataclass, replace
 
-MINIMUM_LIMIT = 1.0
-# One report without waiting requests raises the limit by this part of the
-# document's slots, so it recovers from 1 within 16 reports.
+MINIMUM_LIMIT_SLOTS = 1.0
+# Each report without waiting requests raises the limit by this fraction of the
+# maximum, so it recovers from 1 within 16 reports.
 INCREASE_FRACTION = 1 / 16
-MINIMUM_INCREASE = 1.0
+MINIMUM_INCREASE_SLOTS = 1.0
 DECREASE_FACTOR = 0.8
-# A few waiting requests keep the upstream's batch full between two reports.
+# A few waiting requests are tolerated, since they keep the upstream's batch
+# full between two reports.
 TOLERATED_WAITING_FRACTION = 0.1
-MINIMUM_TOLERATED_WAITING = 1.0
-# Waiting requests within the tolerance count once answers are this much
-# slower than the baseline.
-SLOW_FACTOR = 2.0
+MINIMUM_TOLERATED_WAITING_REQUESTS = 1.0
+# Tolerated waiting requests lower the limit as well if the recent latency
+# exceeds this multiple of the baseline.
+SLOW_LATENCY_FACTOR = 2.0
 RECENT_LATENCY_WEIGHT = 0.2
-# Ten times slower than the recent mean, so that the baseline follows a change
-# of the requests but not a short overload.
+# Ten times lower than the recent weight, so that the baseline follows a change
+# of the workload but not a short overload.
 BASELINE_LATENCY_WEIGHT = 0.02
-# Requests that were admitted before a decrease stay for a while. No further
-# decrease follows until they have left or this time has passed.
-SETTLE_SECONDS = 30.0
-# Without a report for this long the limit stays as it is.
-REPORTS_STOPPED_SECONDS = 5.0
+# Requests admitted before a decrease are still running after it. The limit is
+# not lowered again until the upstream is within the limit or this time has
+# passed.
+DECREASE_COOLDOWN_SECONDS = 30.0
+# Load reports older than this are ignored, and the limit is frozen if no new
+# one arrives for this long.
+REPORT_TIMEOUT_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class AdaptiveLimit:
-    """Limit between 1 and the slots of the service document.
+    """Concurrency limit between 1 and the slots of the service document.
 
     Attributes:
         maximum: Slots in the service document.
-        value: Current limit; whole slots are its integer part.
+        value: Current limit; its integer part is the number of slots.
         lowered_at: Time of the last decrease in seconds.
-        recent_latency_seconds: Moving mean over few answers, or None.
-        baseline_latency_seconds: Moving mean over many answers, or None.
+        recent_latency_seconds: Moving average over few responses, or None
+            before the first one.
+        baseline_latency_seconds: Moving average over many responses, or None
+            before the first one.
     """
 
     maximum: int
@@ -51,28 +56,29 @@
 
     @property
     def slots(self) -> int:
-        """Return the number of requests that may run at once."""
+        """Return the maximum number of concurrent requests."""
         return int(self.value)
 
     @property
     def is_slow(self) -> bool:
-        """Return whether recent answers are far above the baseline."""
+        """Return whether the recent latency is far above the baseline."""
         recent = self.recent_latency_seconds
         baseline = self.baseline_latency_seconds
         if recent is None or baseline is None:
             return False
-        return recent > SLOW_FACTOR * baseline
+        return recent > SLOW_LATENCY_FACTOR * baseline
 
 
 def new_limit(maximum: int) -> AdaptiveLimit:
-    """Return the limit of a new upstream, which starts at the maximum."""
+    """Create the limit of a new upstream, which starts at the maximum."""
     return AdaptiveLimit(maximum=maximum, value=float(maximum))
 
 
 def with_maximum(limit: AdaptiveLimit, maximum: int) -> AdaptiveLimit:
-    """Return the limit after a change of the service document.
+    """Return the limit with a new maximum from the service document.
 
-    A limit that was not lowered follows the document upwards at once.
+    A limit at its old maximum moves to the new one at once. A lowered limit
+    stays as it is or is reduced to the new maximum.
     """
     is_lowered = limit.value < limit.maximum
     value = min(limit.value, maximum) if is_lowered else float(maximum)
@@ -80,21 +86,21 @@
 
 
 def with_latency(limit: AdaptiveLimit, latency_seconds: float) -> AdaptiveLimit:
-    """Return the limit after an answer.
+    """Return the limit after a response.
 
     Args:
-        limit: Limit before the answer.
-        latency_seconds: Time from sending the request to the answer's head.
+        limit: Limit before the response.
+        latency_seconds: Time from sending the request to the response head.
     """
-    # Called for every answer, and cheaper than `replace`.
+    # Runs for every response, and the constructor is faster than `replace`.
     return AdaptiveLimit(
         maximum=limit.maximum,
         value=limit.value,
         lowered_at=limit.lowered_at,
-        recent_latency_seconds=_mean(
+        recent_latency_seconds=_moving_mean(
             limit.recent_latency_seconds, latency_seconds, RECENT_LATENCY_WEIGHT
         ),
-        baseline_latency_seconds=_mean(
+        baseline_latency_seconds=_moving_mean(
             limit.baseline_latency_seconds,
             latency_seconds,
             BASELINE_LATENCY_WEIGHT,
@@ -113,38 +119,39 @@
 
     Args:
         limit: Limit before the report.
-        running: Requests that the upstream runs.
-        waiting: Requests that it has admitted but not started.
-        measured_at: Time in seconds to which the report refers.
+        running: Number of requests that the upstream runs.
+        waiting: Number of requests that it has admitted but not started.
+        measured_at: Time of the measurement in seconds.
         now: Time in seconds.
     """
     if _is_congested(limit, waiting):
-        if _is_settling(limit, running + waiting, measured_at):
+        if _is_cooling_down(limit, running + waiting, measured_at):
             return limit
-        lowered = max(MINIMUM_LIMIT, limit.value * DECREASE_FACTOR)
+        lowered = max(MINIMUM_LIMIT_SLOTS, limit.value * DECREASE_FACTOR)
         return replace(limit, value=lowered, lowered_at=now)
     if waiting > 0:
         return limit
-    step = max(MINIMUM_INCREASE, limit.maximum * INCREASE_FRACTION)
+    step = max(MINIMUM_INCREASE_SLOTS, limit.maximum * INCREASE_FRACTION)
     return replace(limit, value=min(float(limit.maximum), limit.value + step))
 
 
-def _is_settling(
+def _is_cooling_down(
     limit: AdaptiveLimit, admitted: int, measured_at: float
 ) -> bool:
-    """Return whether a report cannot show the effect of the last decrease."""
+    """Return whether the last decrease may not have taken effect yet."""
     if measured_at <= limit.lowered_at:
         return True
-    is_recent = measured_at - limit.lowered_at < SETTLE_SECONDS
+    is_recent = measured_at - limit.lowered_at < DECREASE_COOLDOWN_SECONDS
     return is_recent and admitted > limit.slots
 
 
 def _is_congested(limit: AdaptiveLimit, waiting: int) -> bool:
     tolerated = max(
-        MINIMUM_TOLERATED_WAITING, limit.value * TOLERATED_WAITING_FRACTION
+        MINIMUM_TOLERATED_WAITING_REQUESTS,
+        limit.value * TOLERATED_WAITING_FRACTION,
     )
     return waiting > tolerated or (waiting > 0 and limit.is_slow)
 
 
-def _mean(mean: float | None, value: float, weight: float) -> float:
+def _moving_mean(mean: float | None, value: float, weight: float) -> float:
     return value if mean is None else mean + weight * (value - mean)
--- a/packages/core/src/lacewingspar_core/attempt_rules.py
+++ b/packages/core/src/lacewingspar_core/attempt_rules.py
@@ -1,4 +1,4 @@
-"""What follows when one attempt at a request has ended."""
+"""Rules for retrying a request after an attempt at an upstream has ended."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,33 +9,33 @@
 class AttemptResult(StrEnum):
     """How an attempt at a request ended."""
 
-    # The upstream's own answer, complete.
+    # A complete response with a status below 500.
     ANSWERED = "answered"
-    # A complete failure of the upstream itself; it may have run the request.
+    # A complete error response of the upstream, which may have run the request.
     UPSTREAM_FAILURE = "upstream_failure"
-    # No connection; nothing was sent.
+    # No connection could be opened, so nothing was sent.
     UNREACHABLE = "unreachable"
-    # The upstream says that it did not run the request.
+    # The response says that the upstream did not run the request.
     NOT_RUN = "not_run"
-    # Another upstream has the address; the request did not run.
+    # Another upstream uses the address now; the request did not run.
     WRONG_UPSTREAM = "wrong_upstream"
-    # The connection broke before the answer was complete.
+    # The connection broke before the response was complete.
     BROKEN = "broken"
-    # What came is not a valid answer to the request.
+    # The received data is not a valid response to the request.
     INVALID = "invalid"
-    # Nothing came for longer than the answer may take.
+    # The upstream sent nothing within the time limit.
     SILENT = "silent"
 
 
 @dataclass(frozen=True, slots=True)
 class ResultRule:
-    """Consequences of one result.
+    """Effects of one attempt result on the request.
 
     Attributes:
-        outcome: How the upstream's record takes it.
-        may_have_run: Whether the request may have run.
-        was_sent: Whether the request counts as sent.
-        may_send_again: Whether another attempt may help.
+        outcome: Outcome that is recorded for the upstream.
+        may_have_run: Whether the upstream may have run the request.
+        was_sent: Whether the attempt counts towards `sent_limit`.
+        may_send_again: Whether another upstream may succeed.
     """
 
     outcome: RunOutcome
@@ -60,21 +60,21 @@
     AttemptResult.INVALID: ResultRule(RunOutcome.FAILED, True, True, True),
     AttemptResult.SILENT: ResultRule(RunOutcome.FAILED, True, True, True),
 }
-# Attempts that find no connection send nothing, but each takes time.
-UNREACHABLE_LIMIT = 4
+# Attempts without a connection do not count as sent, but each takes time.
+MAX_UNREACHABLE_ATTEMPTS = 4
 
 
 @dataclass(slots=True)
 class AttemptHistory:
-    """Attempts at one request so far.
+    """Counts and results of the attempts made for one request.
 
     Attributes:
-        may_run_again: Whether the request may run more than once.
-        sent_limit: Largest number of upstreams that it may be sent to.
-        sent: Number of upstreams that it was sent to.
-        unreachable: Number of attempts without a connection.
-        may_have_run: Whether any attempt may have run.
-        tried: Upstreams that were tried.
+        may_run_again: Whether the request may safely run more than once.
+        sent_limit: Maximum number of times that the request may be sent.
+        sent: Number of times that the request was sent.
+        unreachable: Number of attempts that found no connection.
+        may_have_run: Whether any upstream may have run the request.
+        tried: Ids of the upstreams that were tried.
     """
 
     may_run_again: bool
@@ -85,7 +85,7 @@
     tried: frozenset[str] = frozenset()
 
     def note(self, result: AttemptResult, upstream_id: str) -> None:
-        """Take over how an attempt ended."""
+        """Record the result of an attempt."""
         rule = RULE_BY_RESULT[result]
         self.sent += rule.was_sent
         self.unreachable += not rule.was_sent
@@ -93,13 +93,13 @@
         self.tried |= {upstream_id}
 
     def may_try_again(self, result: AttemptResult) -> bool:
-        """Return whether the request may be tried at another upstream.
+        """Return whether another attempt may follow one that ended in `result`.
 
-        Budgets of the fleet and the time left are checked apart from this.
+        The caller also checks the retry budgets and the remaining time.
         """
         return (
             RULE_BY_RESULT[result].may_send_again
             and (self.may_run_again or not self.may_have_run)
             and self.sent < max(1, self.sent_limit)
-            and self.unreachable < UNREACHABLE_LIMIT
+            and self.unreachable < MAX_UNREACHABLE_ATTEMPTS
         )
--- a/packages/core/src/lacewingspar_core/demand.py
+++ b/packages/core/src/lacewingspar_core/demand.py
@@ -1,4 +1,4 @@
-"""Demand for the slots of one service, as an owner knows it."""
+"""Demand for the slots of one service, as reported to a slot owner."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -9,11 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandKey:
-    """Requests that are alike for an owner.
+    """Requests that a slot owner treats alike.
 
     Attributes:
         workspace: Name of the workspace.
-        model: Model that the requests need, or "" for any upstream.
+        model: Model that the requests need, or "" if any upstream can serve
+            them.
     """
 
     workspace: str
@@ -21,8 +22,8 @@
 
 
 @dataclass(slots=True)
-class _HolderDemand:
-    """Waiting requests of one key at one holder."""
+class _IngressDemand:
+    """Waiting requests of one key at one ingress router."""
 
     waiting: int = 0
     oldest_since: float = 0.0
@@ -30,152 +31,191 @@
     offered: int = 0
 
     @property
-    def free(self) -> int:
+    def unoffered(self) -> int:
         """Return the number of requests without an open offer."""
         return max(0, self.waiting - self.offered)
 
 
 class DemandTable:
-    """Waiting requests by key and holder, less those with an open offer.
+    """Waiting requests and open offers by key and ingress router.
 
-    An owner asks for the open keys at every event, so the sums over holders
-    are kept instead of computed: at 78 holders with 70 keys each a sum takes
-    milliseconds.
+    A slot owner reads the keys with unoffered requests at every event, so the
+    table maintains the totals over all ingress routers. Computing them takes
+    milliseconds with 78 ingress routers and 70 keys each.
     """
 
     def __init__(self) -> None:
-        self._holders_by_key: dict[
-            DemandKey, dict[RouterLife, _HolderDemand]
+        self._demand_by_key: dict[
+            DemandKey, dict[RouterLife, _IngressDemand]
         ] = {}
-        self._free_by_key: dict[DemandKey, int] = {}
-        # In order of arrival, so that the same events give the same order.
-        self._keys_by_holder: dict[RouterLife, dict[DemandKey, None]] = {}
-        self._sequence_by_holder: dict[RouterLife, int] = {}
+        self._unoffered_by_key: dict[DemandKey, int] = {}
+        # A dict as an ordered set, so that replayed events give the same order.
+        self._keys_by_ingress_router: dict[
+            RouterLife, dict[DemandKey, None]
+        ] = {}
+        self._sequence_by_ingress_router: dict[RouterLife, int] = {}
 
-    def update(self, holder: RouterLife, message: Demand, now: float) -> bool:
-        """Take over a holder's demand.
+    def update(
+        self, ingress_router: RouterLife, message: Demand, now: float
+    ) -> bool:
+        """Apply a demand message of an ingress router.
 
         Returns:
-            Whether the message was newer than the last one of that holder.
+            Whether the message is newer than the router's last one. Older
+            messages are ignored.
         """
-        if message.sequence <= self._sequence_by_holder.get(holder, -1):
+        if message.sequence <= self._sequence_by_ingress_router.get(
+            ingress_router, -1
+        ):
             return False
-        self._sequence_by_holder[holder] = message.sequence
+        self._sequence_by_ingress_router[ingress_router] = message.sequence
         for entry in message.entries:
-            self._set(holder, entry, now)
+            self._apply_entry(ingress_router, entry, now)
         if message.full:
             listed = {
                 DemandKey(entry.workspace, entry.model)
                 for entry in message.entries
             }
-            for key in list(self._keys_by_holder.get(holder, ())):
+            for key in list(
+                self._keys_by_ingress_router.get(ingress_router, ())
+            ):
                 if key not in listed:
-                    self._change(key, holder, waiting=0)
+                    self._set_counts(key, ingress_router, waiting=0)
         return True
 
-    def remove_holder(self, holder: RouterLife) -> None:
-        """Drop the demand of a holder that is gone."""
-        self._sequence_by_holder.pop(holder, None)
-        for key in list(self._keys_by_holder.get(holder, ())):
-            self._change(key, holder, waiting=0, offered=0)
+    def remove_ingress_router(self, ingress_router: RouterLife) -> None:
+        """Remove the demand of an unreachable ingress router."""
+        self._sequence_by_ingress_router.pop(ingress_router, None)
+        for key in list(self._keys_by_ingress_router.get(ingress_router, ())):
+            self._set_counts(key, ingress_router, waiting=0, offered=0)
 
-    def open_keys(self) -> Iterator[DemandKey]:
-        """Return the keys with requests that have no open offer yet."""
-        for key in self._holders_by_key:
-            if self._free_by_key.get(key):
+    def unoffered_keys(self) -> Iterator[DemandKey]:
+        """Yield the keys that have requests without an open offer."""
+        for key in self._demand_by_key:
+            if self._unoffered_by_key.get(key):
                 yield key
 
     def waiting_by_workspace(self) -> dict[str, int]:
-        """Return the numbers of waiting requests without an open offer."""
+        """Return the number of requests without an open offer by workspace."""
         result: dict[str, int] = {}
-        for key in self.open_keys():
-            free = self._free_by_key[key]
-            result[key.workspace] = result.get(key.workspace, 0) + free
+        for key in self.unoffered_keys():
+            unoffered = self._unoffered_by_key[key]
+            result[key.workspace] = result.get(key.workspace, 0) + unoffered
         return result
 
-    def oldest_holder(self, key: DemandKey) -> RouterLife | None:
-        """Return the holder whose request of a key has waited longest."""
-        free = [
-            (held.oldest_since, holder)
-            for holder, held in self._holders_by_key.get(key, {}).items()
-            if held.free
+    def longest_waiting_ingress_router(
+        self, key: DemandKey
+    ) -> RouterLife | None:
+        """Return the ingress router with the oldest unoffered request of a key.
+
+        Returns:
+            None if all requests of the key have an open offer.
+        """
+        unoffered = [
+            (ingress_demand.oldest_since, ingress_router)
+            for ingress_router, ingress_demand in self._demand_by_key.get(
+                key, {}
+            ).items()
+            if ingress_demand.unoffered
         ]
-        return min(free)[1] if free else None
-
-    def estimate_seconds(self, key: DemandKey, holder: RouterLife) -> float:
-        """Return the measured mean cost of such requests, or 0."""
-        held = self._held(key, holder)
-        return held.estimate_seconds if held else 0.0
-
-    def note_offer(self, key: DemandKey, holder: RouterLife) -> None:
-        """Count an open offer."""
-        held = self._held(key, holder)
-        if held:
-            self._change(key, holder, offered=held.offered + 1)
-
-    def note_taken(self, key: DemandKey, holder: RouterLife) -> None:
-        """Count a request that an owner elsewhere has offered a slot."""
-        held = self._held(key, holder)
-        if held:
-            self._change(key, holder, waiting=max(0, held.waiting - 1))
-
-    def note_offer_end(
-        self, key: DemandKey, holder: RouterLife, *, accepted: bool
+        return min(unoffered)[1] if unoffered else None
+
+    def estimate_seconds(
+        self, key: DemandKey, ingress_router: RouterLife
+    ) -> float:
+        """Return the expected slot time of such requests, or 0 if unknown."""
+        ingress_demand = self._find_demand(key, ingress_router)
+        return ingress_demand.estimate_seconds if ingress_demand else 0.0
+
+    def record_offer(self, key: DemandKey, ingress_router: RouterLife) -> None:
+        """Record an offer of this slot owner."""
+        ingress_demand = self._find_demand(key, ingress_router)
+        if ingress_demand:
+            self._set_counts(
+                key, ingress_router, offered=ingress_demand.offered + 1
+            )
+
+    def record_remote_offer(
+        self, key: DemandKey, ingress_router: RouterLife
+    ) -> None:
+        """Record an offer of another data centre for one of the requests."""
+        ingress_demand = self._find_demand(key, ingress_router)
+        if ingress_demand:
+            self._set_counts(
+                key, ingress_router, waiting=max(0, ingress_demand.waiting - 1)
+            )
+
+    def record_offer_end(
+        self, key: DemandKey, ingress_router: RouterLife, *, accepted: bool
     ) -> None:
-        """Count the end of an open offer.
+        """Record the end of an open offer.
 
         Args:
             key: Key of the offer.
-            holder: Holder that got the offer.
-            accepted: Whether a request was bound. Otherwise the holder had
-                none, so what is known of its demand is stale and counts as
-                zero until its next message.
+            ingress_router: Receiver of the offer.
+            accepted: Whether a request was assigned to the slot. If not, the
+                known demand of the ingress router is stale and counts as zero
+                until its next message.
         """
-        held = self._held(key, holder)
-        if held is None:
+        ingress_demand = self._find_demand(key, ingress_router)
+        if ingress_demand is None:
             return
-        self._change(
+        self._set_counts(
             key,
-            holder,
-            waiting=max(0, held.waiting - 1) if accepted else 0,
-            offered=max(0, held.offered - 1),
+            ingress_router,
+            waiting=max(0, ingress_demand.waiting - 1) if accepted else 0,
+            offered=max(0, ingress_demand.offered - 1),
         )
 
-    def _held(self, key: DemandKey, holder: RouterLife) -> _HolderDemand | None:
-        return self._holders_by_key.get(key, {}).get(holder)
+    def _find_demand(
+        self, key: DemandKey, ingress_router: RouterLife
+    ) -> _IngressDemand | None:
+        return self._demand_by_key.get(key, {}).get(ingress_router)
 
-    def _set(self, holder: RouterLife, entry: DemandEntry, now: float) -> None:
+    def _apply_entry(
+        self, ingress_router: RouterLife, entry: DemandEntry, now: float
+    ) -> None:
         key = DemandKey(entry.workspace, entry.model)
-        holders = self._holders_by_key.setdefault(key, {})
-        held = holders.setdefault(holder, _HolderDemand())
-        self._keys_by_holder.setdefault(holder, {})[key] = None
-        held.oldest_since = now - entry.oldest_wait_seconds
-        held.estimate_seconds = entry.estimate_seconds
-        self._change(key, holder, waiting=entry.waiting)
-
-    def _change(
+        ingress_routers = self._demand_by_key.setdefault(key, {})
+        ingress_demand = ingress_routers.setdefault(
+            ingress_router, _IngressDemand()
+        )
+        self._keys_by_ingress_router.setdefault(ingress_router, {})[key] = None
+        ingress_demand.oldest_since = now - entry.oldest_wait_seconds
+        ingress_demand.estimate_seconds = entry.estimate_seconds
+        self._set_counts(key, ingress_router, waiting=entry.waiting)
+
+    def _set_counts(
         self,
         key: DemandKey,
-        holder: RouterLife,
+        ingress_router: RouterLife,
         *,
         waiting: int | None = None,
         offered: int | None = None,
     ) -> None:
-        """Change counts of a holder and drop it if they are zero."""
-        holders = self._holders_by_key[key]
-        held = holders[holder]
-        free_before = held.free
-        held.waiting = held.waiting if waiting is None else waiting
-        held.offered = held.offered if offered is None else offered
-        free = self._free_by_key.get(key, 0) + held.free - free_before
-        self._free_by_key[key] = free
-        if held.waiting or held.offered:
+        """Set counts of an ingress router and remove the entry if all are 0."""
+        ingress_routers = self._demand_by_key[key]
+        ingress_demand = ingress_routers[ingress_router]
+        unoffered_before = ingress_demand.unoffered
+        ingress_demand.waiting = (
+            ingress_demand.waiting if waiting is None else waiting
+        )
+        ingress_demand.offered = (
+            ingress_demand.offered if offered is None else offered
+        )
+        unoffered = (
+            self._unoffered_by_key.get(key, 0)
+            + ingress_demand.unoffered
+            - unoffered_before
+        )
+        self._unoffered_by_key[key] = unoffered
+        if ingress_demand.waiting or ingress_demand.offered:
             return
-        del holders[holder]
-        keys = self._keys_by_holder[holder]
+        del ingress_routers[ingress_router]
+        keys = self._keys_by_ingress_router[ingress_router]
         del keys[key]
         if not keys:
-            del self._keys_by_holder[holder]
-        if not holders:
-            del self._holders_by_key[key]
-            del self._free_by_key[key]
+            del self._keys_by_ingress_router[ingress_router]
+        if not ingress_routers:
+            del self._demand_by_key[key]
+            del self._unoffered_by_key[key]
--- a/packages/core/src/lacewingspar_core/dispatch.py
+++ b/packages/core/src/lacewingspar_core/dispatch.py
@@ -1,4 +1,4 @@
-"""Hand-out of the slots of one service by the router that owns them."""
+"""Allocation of the slots of one service by the router that owns them."""
 
 from dataclasses import dataclass, field
 
@@ -32,41 +32,42 @@
     SlotReportRequest,
 )
 from lacewingspar_core.selection import Candidate, WorkspaceSelector
-from lacewingspar_core.slots import OwnedUpstream, SlotTable, SlotUse
+from lacewingspar_core.slots import OwnedUpstream, SlotAllocation, SlotTable
 
-# An offer that a holder has not answered returns to the owner.
+# An offer without a reply expires after this time.
 OFFER_TIMEOUT_SECONDS = 0.5
-# A use that its holder has not reported for this long has ended.
+# An allocation expires if its ingress router has not reported it for this long.
 SLOT_LEASE_SECONDS = 5.0
-# Slot time is charged until this long after the last report of a use, so that
-# a use whose end was not heard of is not charged until its lease ends.
+# Slot time is charged for at most this long after the last report, so that a
+# workspace does not pay until the lease expires if the release message is lost.
 CHARGE_AFTER_REPORT_SECONDS = 1.5
-# A new owner waits this long for the reports of uses that it inherits.
-ADOPTION_SECONDS = 0.3
+# A new slot owner waits at most this long for reports of the slots in use
+# before it makes offers.
+TAKEOVER_WAIT_SECONDS = 0.3
 
-_ALL_OFFERED = 1 << 30
+_NO_MORE_OFFERS = 1 << 30
 
 
 @dataclass(slots=True)
-class _Adoption:
-    """Wait of a new owner for the uses that it inherits."""
+class _Takeover:
+    """Pending slot reports after this router became the owner of upstreams."""
 
     until: float
-    awaited: set[RouterLife] = field(default_factory=set)
+    awaited_routers: set[RouterLife] = field(default_factory=set)
 
 
 class SlotOwner:
-    """Hands out the slots of the owned upstreams of one service.
+    """Allocates the slots of the owned upstreams of one service.
 
-    Events and the time go in, messages to send come out. Two owners of the
-    same upstream at a time overcommit it for a moment; nothing else depends on
-    there being one.
+    The class does no I/O: it handles events and returns the messages to send.
+    While two routers own the same upstream, they may overcommit it; nothing
+    else relies on a single owner.
 
     Args:
         service: Name of the service.
-        life: Life of this router.
+        life: This router instance.
         data_centre: Data centre of this router.
-        uses_echo_factor: See `WorkspaceSelector`.
+        weights_unpublished_grants: See `WorkspaceSelector`.
     """
 
     def __init__(
@@ -75,27 +76,29 @@
         life: RouterLife,
         data_centre: str,
         *,
-        uses_echo_factor: bool = True,
+        weights_unpublished_grants: bool = True,
     ) -> None:
         self.service = service
         self.ledger = ServiceLedger(service, life, data_centre)
         self._life = life
         self._costs = CostTable()
         self._selector = WorkspaceSelector(
-            self.ledger, self._costs, uses_echo_factor=uses_echo_factor
+            self.ledger,
+            self._costs,
+            weights_unpublished_grants=weights_unpublished_grants,
         )
         self._slots = SlotTable()
         self._demand = DemandTable()
-        self._offers = 0
-        self._adoption: _Adoption | None = None
-        self._offered_elsewhere: dict[RouterLife, dict[str, int]] = {}
+        self._offer_count = 0
+        self._takeover: _Takeover | None = None
+        self._offers_by_remote_owner: dict[RouterLife, dict[str, int]] = {}
 
     def handle(self, event: OwnerEvent, now: float) -> list[OwnerAction]:
         """Handle one event.
 
         Args:
-            event: What has happened.
-            now: Time in seconds of a clock that never goes back.
+            event: The event.
+            now: Monotonic time in seconds.
 
         Returns:
             Messages to send, in order.
@@ -111,54 +114,62 @@
             case TimePassed():
                 self._expire(now)
             case CountersDue(full):
-                actions += self._announce(now, full=full)
+                actions += self._publish_counters(now, full=full)
         actions += self._offer_free_slots(now)
         return actions
 
     @property
     def uses_by_upstream(self) -> dict[str, int]:
-        """Return the number of slots in use by owned upstream."""
+        """Return the number of slot allocations by owned upstream."""
         return self._slots.uses_by_upstream()
 
     @property
     def overcommitment(self) -> int:
-        """Return the largest number of uses beyond an upstream's slots."""
+        """Return the maximum number of allocations in excess of the slots.
+
+        The maximum is taken over the owned upstreams.
+        """
         return self._slots.overcommitment
 
-    def _announce(self, now: float, *, full: bool) -> list[Announce]:
-        for use in self._slots.uses():
-            self._accrue(use, now)
+    def _publish_counters(self, now: float, *, full: bool) -> list[Announce]:
+        for allocation in self._slots.allocations():
+            self._charge_accrued(allocation, now)
         self.ledger.set_waiting(self._demand.waiting_by_workspace())
         counters = self.ledger.publish(full=full)
         return [] if counters is None else [Announce(counters)]
 
     def _set_upstreams(self, event: UpstreamsChanged, now: float) -> list[Send]:
-        inherits = any(
+        has_new_upstreams = any(
             not self._slots.owns(upstream_id)
             for upstream_id in event.upstream_by_id
         )
-        for use in self._slots.set_upstreams(event.upstream_by_id):
-            if use.started_at is None:
-                self._withdraw(use)
+        for allocation in self._slots.set_upstreams(event.upstream_by_id):
+            if allocation.started_at is None:
+                self._undo_offer(allocation)
             else:
-                self._settle(use, now)
+                self._charge_final(allocation, now)
         self.ledger.set_weights(event.weight_by_workspace)
         self.ledger.set_slots(self._slots.total_slots)
-        if not inherits:
+        if not has_new_upstreams:
             return []
-        self._adoption = _Adoption(now + ADOPTION_SECONDS, set(event.routers))
+        self._takeover = _Takeover(
+            now + TAKEOVER_WAIT_SECONDS, set(event.routers)
+        )
         request = SlotReportRequest(self.service)
         return [Send(router, request) for router in sorted(event.routers)]
 
     def _remove_router(self, life: RouterLife) -> None:
-        self._demand.remove_holder(life)
-        self.ledger.set_unreachable(life)
-        if self._adoption is not None:
-            self._adoption.awaited.discard(life)
-        for use in self._slots.uses():
-            if use.holder == life and use.started_at is None:
-                self._slots.remove(use.slot)
-                self._withdraw(use)
+        self._demand.remove_ingress_router(life)
+        self.ledger.mark_unreachable(life)
+        if self._takeover is not None:
+            self._takeover.awaited_routers.discard(life)
+        for allocation in self._slots.allocations():
+            if (
+                allocation.ingress_router == life
+                and allocation.started_at is None
+            ):
+                self._slots.remove(allocation.slot)
+                self._undo_offer(allocation)
 
     def _receive(
         self, sender: RouterLife, message: AnyPeerMessage, now: float
@@ -168,9 +179,9 @@
                 self._demand.update(sender, message, now)
             case Counters():
                 self.ledger.merge(message, now)
-                self._offered_elsewhere.pop(message.life, None)
+                self._offers_by_remote_owner.pop(message.life, None)
             case Offer():
-                return self._forward(sender, message)
+                return self._forward_offer(sender, message)
             case OfferAccepted():
                 self._accept(sender, message, now)
             case OfferDeclined():
@@ -178,24 +189,28 @@
             case SlotReleased():
                 self._release(message, now)
             case SlotReport():
-                self._take_report(sender, message, now)
+                self._apply_report(sender, message, now)
         return []
 
-    def _forward(self, sender: RouterLife, offer: Offer) -> list[Send]:
-        """Pass an offer from another data centre on to a holder."""
+    def _forward_offer(self, sender: RouterLife, offer: Offer) -> list[Send]:
+        """Forward an offer from another data centre to an ingress router.
+
+        Returns:
+            The forwarded offer, or a decline if no request here matches it.
+        """
         keys = [
             key
-            for key in self._demand.open_keys()
+            for key in self._demand.unoffered_keys()
             if key.workspace == offer.workspace
             and (not offer.model or key.model == offer.model)
         ]
         for key in keys:
-            holder = self._demand.oldest_holder(key)
-            if holder is None:
+            ingress_router = self._demand.longest_waiting_ingress_router(key)
+            if ingress_router is None:
                 continue
-            # The holder answers the offering owner, so this owner counts the
-            # request as served without waiting for the answer.
-            self._demand.note_taken(key, holder)
+            # The ingress router replies to the offering slot owner directly, so
+            # the request counts as served without a reply to this owner.
+            self._demand.record_remote_offer(key, ingress_router)
             forwarded = Offer(
                 service=offer.service,
                 slot=offer.slot,
@@ -204,7 +219,7 @@
                 model=offer.model,
                 is_forwarded=True,
             )
-            return [Send(holder, forwarded)]
+            return [Send(ingress_router, forwarded)]
         declined = OfferDeclined(
             self.service, offer.slot, offer.workspace, offer.model
         )
@@ -213,57 +228,68 @@
     def _accept(
         self, sender: RouterLife, message: OfferAccepted, now: float
     ) -> None:
-        use = self._slots.get(message.slot)
-        if use is None or use.started_at is not None:
+        allocation = self._slots.get(message.slot)
+        if allocation is None or allocation.started_at is not None:
             return
-        if not use.is_remote:
-            self._demand.note_offer_end(use.key, use.holder, accepted=True)
-        use.holder = sender
-        use.started_at = now
-        use.lease_until = now + SLOT_LEASE_SECONDS
+        if not allocation.is_remote:
+            self._demand.record_offer_end(
+                allocation.key, allocation.ingress_router, accepted=True
+            )
+        allocation.ingress_router = sender
+        allocation.started_at = now
+        allocation.lease_until = now + SLOT_LEASE_SECONDS
 
     def _decline(self, message: OfferDeclined) -> None:
-        use = self._slots.get(message.slot)
-        if use is None or use.started_at is not None:
+        allocation = self._slots.get(message.slot)
+        if allocation is None or allocation.started_at is not None:
             return
         self._slots.remove(message.slot)
-        self._withdraw(use)
-
-    def _withdraw(self, use: SlotUse) -> None:
-        """Take back what was counted for an offer that was not accepted."""
-        self.ledger.charge(use.key.workspace, 0, -use.pending_seconds)
-        self.ledger.note_grant(use.key.workspace, -use.estimate_seconds)
-        if not use.is_remote:
-            self._demand.note_offer_end(use.key, use.holder, accepted=False)
+        self._undo_offer(allocation)
+
+    def _undo_offer(self, allocation: SlotAllocation) -> None:
+        """Reverse the accounting of an offer that was not accepted."""
+        self.ledger.charge(
+            allocation.key.workspace, 0, -allocation.pending_seconds
+        )
+        self.ledger.add_unpublished_grant(
+            allocation.key.workspace, -allocation.estimate_seconds
+        )
+        if not allocation.is_remote:
+            self._demand.record_offer_end(
+                allocation.key, allocation.ingress_router, accepted=False
+            )
             return
-        # Nothing more is offered there until its next counters.
-        offered = self._offered_elsewhere.setdefault(use.holder, {})
-        offered[use.key.workspace] = _ALL_OFFERED
+        # Make no further offers to that owner until its next counters arrive.
+        offered = self._offers_by_remote_owner.setdefault(
+            allocation.ingress_router, {}
+        )
+        offered[allocation.key.workspace] = _NO_MORE_OFFERS
 
     def _release(self, message: SlotReleased, now: float) -> None:
-        use = self._slots.remove(message.slot)
-        if use is None:
+        allocation = self._slots.remove(message.slot)
+        if allocation is None:
             return
-        # The message shows that the slot was in use until now.
-        use.lease_until = now + SLOT_LEASE_SECONDS
-        self._settle(use, now)
+        # The release proves that the slot was in use until now. Renewing the
+        # lease lets the slot time up to now be charged.
+        allocation.lease_until = now + SLOT_LEASE_SECONDS
+        self._charge_final(allocation, now)
         if message.outcome is SlotOutcome.COMPLETED:
-            self._costs.note(
+            self._costs.record(
                 message.workspace,
                 message.used_seconds / max(1, message.requests),
             )
 
-    def _take_report(
+    def _apply_report(
         self, sender: RouterLife, report: SlotReport, now: float
     ) -> None:
-        if self._adoption is not None:
-            self._adoption.awaited.discard(sender)
+        if self._takeover is not None:
+            self._takeover.awaited_routers.discard(sender)
         for active in report.active:
-            use = self._slots.get(active.slot)
-            if use is None:
-                self._adopt(sender, active, now)
+            allocation = self._slots.get(active.slot)
+            if allocation is None:
+                self._take_over(sender, active, now)
                 continue
-            if use.started_at is None:
+            if allocation.started_at is None:
                 self._accept(
                     sender,
                     OfferAccepted(
@@ -271,61 +297,70 @@
                     ),
                     now,
                 )
-            use.lease_until = now + SLOT_LEASE_SECONDS
+            allocation.lease_until = now + SLOT_LEASE_SECONDS
 
-    def _adopt(
-        self, holder: RouterLife, active: ActiveSlot, now: float
+    def _take_over(
+        self, ingress_router: RouterLife, active: ActiveSlot, now: float
     ) -> None:
-        """Take over a use that another owner granted."""
+        """Add a slot in use that another slot owner allocated."""
         if not self._slots.owns(active.upstream_id):
             return
         remaining = max(0.0, active.estimate_seconds - active.used_seconds)
-        use = SlotUse(
+        allocation = SlotAllocation(
             slot=active.slot,
             upstream_id=active.upstream_id,
-            holder=holder,
+            ingress_router=ingress_router,
             key=DemandKey(active.workspace, ""),
             offered_at=now,
             estimate_seconds=remaining,
             started_at=now,
             lease_until=now + SLOT_LEASE_SECONDS,
         )
-        self._slots.add(use)
-        self.ledger.charge(active.workspace, 0, use.pending_seconds)
+        self._slots.add(allocation)
+        self.ledger.charge(active.workspace, 0, allocation.pending_seconds)
 
-    def _accrue(self, use: SlotUse, now: float) -> None:
-        """Charge the slot time that has accrued."""
-        if use.started_at is None:
+    def _charge_accrued(self, allocation: SlotAllocation, now: float) -> None:
+        """Charge the slot time since the last charge."""
+        if allocation.started_at is None:
             return
-        pending = use.pending_seconds
-        reported_at = use.lease_until - SLOT_LEASE_SECONDS
+        pending = allocation.pending_seconds
+        reported_at = allocation.lease_until - SLOT_LEASE_SECONDS
         until = min(now, reported_at + CHARGE_AFTER_REPORT_SECONDS)
-        accrued = max(0.0, until - use.started_at - use.charged_seconds)
-        use.charged_seconds += accrued
+        accrued = max(
+            0.0, until - allocation.started_at - allocation.charged_seconds
+        )
+        allocation.charged_seconds += accrued
         self.ledger.charge(
-            use.key.workspace, accrued, use.pending_seconds - pending
+            allocation.key.workspace,
+            accrued,
+            allocation.pending_seconds - pending,
         )
 
-    def _settle(self, use: SlotUse, now: float) -> None:
-        """Charge what a use that ends has cost, and drop the estimate."""
-        self._accrue(use, now)
-        self.ledger.charge(use.key.workspace, 0, -use.pending_seconds)
+    def _charge_final(self, allocation: SlotAllocation, now: float) -> None:
+        """Charge the remaining slot time of an allocation that has ended.
+
+        The pending slot time of the allocation is removed.
+        """
+        self._charge_accrued(allocation, now)
+        self.ledger.charge(
+            allocation.key.workspace, 0, -allocation.pending_seconds
+        )
 
     def _expire(self, now: float) -> None:
-        for use in self._slots.uses():
-            if use.started_at is None:
-                if now - use.offered_at >= OFFER_TIMEOUT_SECONDS:
-                    self._slots.remove(use.slot)
-                    self._withdraw(use)
-            elif now >= use.lease_until:
-                self._slots.remove(use.slot)
-                self._settle(use, now)
-        self.ledger.forget_old_lives(now)
+        for allocation in self._slots.allocations():
+            if allocation.started_at is None:
+                if now - allocation.offered_at >= OFFER_TIMEOUT_SECONDS:
+                    self._slots.remove(allocation.slot)
+                    self._undo_offer(allocation)
+            elif now >= allocation.lease_until:
+                self._slots.remove(allocation.slot)
+                self._charge_final(allocation, now)
+        self.ledger.remove_expired_counters(now)
 
     def _offer_free_slots(self, now: float) -> list[Send]:
-        if self._is_adopting(now):
+        if self._is_taking_over(now):
             return []
-        self._note_backlogged(now)
+        self._update_backlogged(now)
         actions: list[Send] = []
         while True:
             action = self._offer_one(now)
@@ -333,21 +368,23 @@
                 return actions
             actions.append(action)
 
-    def _is_adopting(self, now: float) -> bool:
-        adoption = self._adoption
-        if adoption is None:
+    def _is_taking_over(self, now: float) -> bool:
+        takeover = self._takeover
+        if takeover is None:
             return False
-        if adoption.awaited and now < adoption.until:
+        if takeover.awaited_routers and now < takeover.until:
             return True
-        self._adoption = None
+        self._takeover = None
         return False
 
-    def _note_backlogged(self, now: float) -> None:
+    def _update_backlogged(self, now: float) -> None:
         workspaces = set(self._demand.waiting_by_workspace())
-        for waiting in self.ledger.waiting_elsewhere(now).values():
+        for waiting in self.ledger.remote_waiting_by_owner(now).values():
             workspaces.update(waiting)
-        self._selector.note_continued(self.ledger.take_continued(), now)
-        self._selector.note_backlogged(workspaces, now)
+        self._selector.mark_still_backlogged(
+            self.ledger.pop_still_backlogged(), now
+        )
+        self._selector.set_backlogged(workspaces, now)
 
     def _offer_one(self, now: float) -> Send | None:
         free = self._slots.free_upstreams()
@@ -372,11 +409,11 @@
         upstreams = [upstream for upstream, _ in free]
         candidates = [
             Candidate(key)
-            for key in self._demand.open_keys()
+            for key in self._demand.unoffered_keys()
             if any(upstream.serves(key.model) for upstream in upstreams)
         ]
-        for owner, waiting in self.ledger.waiting_elsewhere(now).items():
-            offered = self._offered_elsewhere.get(owner, {})
+        for owner, waiting in self.ledger.remote_waiting_by_owner(now).items():
+            offered = self._offers_by_remote_owner.get(owner, {})
             candidates.extend(
                 Candidate(DemandKey(workspace, ""), owner)
                 for workspace, count in waiting.items()
@@ -388,34 +425,40 @@
         self, chosen: Candidate, upstream: OwnedUpstream, now: float
     ) -> Send:
         key = chosen.key
-        holder = chosen.owner or self._demand.oldest_holder(key)
-        assert holder is not None
-        estimate = self._demand.estimate_seconds(key, holder)
-        self._offers += 1
-        use = SlotUse(
-            slot=SlotId(self._life, self._offers),
+        ingress_router = (
+            chosen.owner or self._demand.longest_waiting_ingress_router(key)
+        )
+        assert ingress_router is not None
+        estimate = self._demand.estimate_seconds(key, ingress_router)
+        self._offer_count += 1
+        allocation = SlotAllocation(
+            slot=SlotId(self._life, self._offer_count),
             upstream_id=upstream.upstream_id,
-            holder=holder,
+            ingress_router=ingress_router,
             key=key,
             offered_at=now,
             estimate_seconds=estimate
             or self._costs.mean_seconds(key.workspace),
             is_remote=chosen.owner is not None,
         )
-        self._slots.add(use)
-        self.ledger.charge(key.workspace, 0, use.pending_seconds)
-        self.ledger.note_grant(key.workspace, use.estimate_seconds)
-        if use.is_remote:
-            offered = self._offered_elsewhere.setdefault(holder, {})
+        self._slots.add(allocation)
+        self.ledger.charge(key.workspace, 0, allocation.pending_seconds)
+        self.ledger.add_unpublished_grant(
+            key.workspace, allocation.estimate_seconds
+        )
+        if allocation.is_remote:
+            offered = self._offers_by_remote_owner.setdefault(
+                ingress_router, {}
+            )
             offered[key.workspace] = offered.get(key.workspace, 0) + 1
         else:
-            self._demand.note_offer(key, holder)
+            self._demand.record_offer(key, ingress_router)
         offer = Offer(
             service=self.service,
-            slot=use.slot,
-            upstream_id=use.upstream_id,
+            slot=allocation.slot,
+            upstream_id=allocation.upstream_id,
             workspace=key.workspace,
             model=key.model,
             is_forwarded=False,
         )
-        return Send(holder, offer)
+        return Send(ingress_router, offer)
--- a/packages/core/src/lacewingspar_core/events.py
+++ b/packages/core/src/lacewingspar_core/events.py
@@ -1,4 +1,4 @@
-"""Events and actions of the slot owner."""
+"""Events that slot owners handle and actions that they return."""
 
 from collections.abc import Mapping
 
@@ -10,13 +10,13 @@
 
 
 class UpstreamsChanged(msgspec.Struct, frozen=True, tag=True):
-    """The upstreams whose slots this router hands out have changed.
+    """The upstreams whose slots this router allocates have changed.
 
     Attributes:
         upstream_by_id: All owned upstreams.
         weight_by_workspace: Weights from the service document.
-        routers: Lives of the routers that are alive, which a new owner asks
-            for the uses that it inherits.
+        routers: Live router instances. A new slot owner asks them to report
+            the slots that they use.
     """
 
     upstream_by_id: Mapping[str, OwnedUpstream]
@@ -25,27 +25,27 @@
 
 
 class RouterGone(msgspec.Struct, frozen=True, tag=True):
-    """A router life has ended or cannot be reached."""
+    """A router instance has stopped or is unreachable."""
 
     life: RouterLife
 
 
 class MessageReceived(msgspec.Struct, frozen=True, tag=True):
-    """A message from another router or from this one."""
+    """A peer message has arrived, from another router or from this one."""
 
     sender: RouterLife
     message: AnyPeerMessage
 
 
 class TimePassed(msgspec.Struct, frozen=True, tag=True):
-    """Time has passed; expires offers and leases."""
+    """Periodic tick that expires offers and leases."""
 
 
 class CountersDue(msgspec.Struct, frozen=True, tag=True):
-    """The other owners of the service should get the counters.
+    """The counters are due to be sent to the service's other slot owners.
 
     Attributes:
-        full: Whether to send all counters, changed or not.
+        full: Whether to include unchanged counters.
     """
 
     full: bool
@@ -57,14 +57,14 @@
 
 
 class Send(msgspec.Struct, frozen=True, tag=True):
-    """Action: send a message to a router life."""
+    """Action: send a message to a router instance."""
 
     receiver: RouterLife
     message: AnyPeerMessage
 
 
 class Announce(msgspec.Struct, frozen=True, tag=True):
-    """Action: send counters to all other owners of the service."""
+    """Action: send counters to all other slot owners of the service."""
 
     counters: Counters
 
--- a/packages/core/src/lacewingspar_core/ledger.py
+++ b/packages/core/src/lacewingspar_core/ledger.py
@@ -1,4 +1,4 @@
-"""Service received by each workspace of one service, over the whole fleet."""
+"""Accounting of the slot time that each workspace received, fleet-wide."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -8,20 +8,20 @@
 from lacewingspar_core.identity import RouterLife
 from lacewingspar_core.messages import CounterEntry, Counters
 
-# Partitions between regions last an hour now and then; counters of a life are
-# kept longer than that, so that they merge without a reset.
-FORGET_LIFE_AFTER_SECONDS = 7200.0
-# Owners that sent no counters for this long do not count as choosing alike.
+# Partitions between regions sometimes last an hour. Counters are kept for
+# longer, so that they merge without a reset afterwards.
+COUNTERS_RETENTION_SECONDS = 7200.0
+# A slot owner counts as active for this long after its last counters.
 ACTIVE_OWNER_SECONDS = 3.0
 MS_PER_SECOND = 1000
 
 
 @dataclass(slots=True)
-class _LifeCounters:
-    """Counters of one router life as last heard."""
+class _OwnerCounters:
+    """Last received counters of one router instance."""
 
     data_centre: str
-    last_heard: float
+    last_received_at: float
     sequence: int = -1
     slots: int = 0
     is_reachable: bool = True
@@ -31,20 +31,22 @@
 
 
 class ServiceLedger:
-    """Scores of the workspaces of one service, as far as this router knows.
+    """Scores of the workspaces of one service, as known to this router.
 
-    The score of a workspace is the service that it received, in slot-seconds
-    divided by its weight, plus what it was raised by when it became
-    backlogged. Served slot time travels as counters that only grow, one per
-    router life and workspace, of which the growth is added to the score:
-    repeated, late and reordered messages do no harm. The first message of a
-    life only sets the base from which growth counts, so a router without
-    memory starts with all workspaces level, and a life that has been forgotten
-    does no harm when it is heard again.
+    The score of a workspace is the slot time that it received, in seconds
+    divided by its weight, plus the amounts by which it was raised when the
+    workspace became backlogged.
+
+    Slot owners exchange served slot time as counters that only grow, one per
+    router instance and workspace. Each increase is added to the score, so
+    duplicate, late and reordered messages change nothing. The first message of
+    an instance only sets the baseline. A restarted router therefore starts
+    with equal scores, and an instance whose counters were removed can return
+    without being counted twice.
 
     Args:
         service: Name of the service.
-        life: Life of this router.
+        life: This router instance.
         data_centre: Data centre of this router.
     """
 
@@ -53,95 +55,101 @@
     ) -> None:
         self.service = service
         self._life = life
-        self._own = _LifeCounters(data_centre, last_heard=0.0)
-        self._counters_by_life: dict[RouterLife, _LifeCounters] = {}
+        self._own = _OwnerCounters(data_centre, last_received_at=0.0)
+        self._counters_by_instance: dict[RouterLife, _OwnerCounters] = {}
         self._weight_by_workspace: dict[str, float] = {}
         self._score_by_workspace: dict[str, float] = {}
         self._pending_by_workspace: dict[str, float] = {}
         self._unpublished_by_workspace: dict[str, float] = {}
         self._changed: set[str] = set()
-        self._continued: set[str] = set()
-        self._tie_order_by_workspace: dict[str, int] = {}
+        self._still_backlogged: set[str] = set()
+        self._tie_break_rank_by_workspace: dict[str, int] = {}
 
     def set_weights(self, weight_by_workspace: Mapping[str, float]) -> None:
-        """Set the weights; service received before keeps its old weight."""
+        """Set the weights that apply to slot time served from now on."""
         self._weight_by_workspace = dict(weight_by_workspace)
 
     def set_slots(self, slots: int) -> None:
-        """Set the number of slots that this router owns."""
+        """Set the number of slots that this router allocates."""
         self._own.slots = slots
 
     def charge(
         self, workspace: str, served_seconds: float, pending_seconds: float
     ) -> None:
-        """Add to the own counters.
+        """Add slot time to this router's counters.
 
         Args:
             workspace: Name of the workspace.
-            served_seconds: Slot time that has accrued, at least 0.
-            pending_seconds: Change of the estimated slot time to come.
+            served_seconds: Additional served slot time, at least 0.
+            pending_seconds: Change of the estimated remaining slot time.
         """
         own = self._own
         _add(own.served_by_workspace, workspace, served_seconds)
         _add(own.pending_by_workspace, workspace, pending_seconds)
         _add(self._pending_by_workspace, workspace, pending_seconds)
-        self._raise_score(workspace, served_seconds)
+        self._add_served_score(workspace, served_seconds)
         self._changed.add(workspace)
 
-    def note_grant(self, workspace: str, estimate_seconds: float) -> None:
-        """Remember a grant that the other owners have not heard of yet."""
+    def add_unpublished_grant(
+        self, workspace: str, estimate_seconds: float
+    ) -> None:
+        """Add the estimate of a grant that the next counters will publish."""
         _add(self._unpublished_by_workspace, workspace, estimate_seconds)
 
-    def raise_to(self, workspace: str, served_score: float) -> None:
-        """Raise a workspace that becomes backlogged to a served score."""
+    def raise_score_to(self, workspace: str, served_score: float) -> None:
+        """Raise the served score of a workspace to at least a value."""
         if self.served_score(workspace) < served_score:
             self._score_by_workspace[workspace] = served_score
 
     def served_score(self, workspace: str) -> float:
-        """Return the score of a workspace without expected service."""
+        """Return the score of a workspace without pending slot time."""
         return self._score_by_workspace.get(workspace, 0.0)
 
-    def score(self, workspace: str, echo_factor: float) -> float:
-        """Return the score of a workspace, in slot-seconds by weight.
+    def score(self, workspace: str, unpublished_weight: float) -> float:
+        """Return the score of a workspace with pending slot time.
 
         Args:
             workspace: Name of the workspace.
-            echo_factor: How often own grants count that the other owners have
-                not heard of, since these owners choose alike meanwhile.
+            unpublished_weight: Factor for this router's grants that its last
+                counters did not include. Other slot owners are likely to
+                choose the same workspace until they receive them.
         """
         expected = self._pending_by_workspace.get(workspace, 0.0)
         unpublished = self._unpublished_by_workspace.get(workspace, 0.0)
-        expected += unpublished * (echo_factor - 1.0)
+        expected += unpublished * (unpublished_weight - 1.0)
         weight = self._weight_by_workspace.get(workspace, 1.0)
         return self.served_score(workspace) + expected / weight
 
-    def tie_order(self, workspace: str) -> int:
-        """Return the place of a workspace among equal scores.
+    def tie_break_rank(self, workspace: str) -> int:
+        """Return the rank of a workspace among workspaces with equal scores.
 
-        It differs between owners, so that owners which know nothing of each
-        other do not all start with the same workspace.
+        The order differs between routers, so that slot owners without
+        counters from each other do not all start with the same workspace.
         """
-        order = self._tie_order_by_workspace.get(workspace)
+        order = self._tie_break_rank_by_workspace.get(workspace)
         if order is None:
             text = f"{self._life.router_id}/{workspace}".encode()
             order = xxhash.xxh64_intdigest(text)
-            self._tie_order_by_workspace[workspace] = order
+            self._tie_break_rank_by_workspace[workspace] = order
         return order
 
-    def echo_factor(self, now: float) -> float:
-        """Return the slots of all active owners as a multiple of the own."""
+    def fleet_slot_ratio(self, now: float) -> float:
+        """Return the slots of all active slot owners divided by this router's.
+
+        The ratio is 1 if this router allocates no slots.
+        """
         own_slots = self._own.slots
         if own_slots == 0:
             return 1.0
         others = sum(
             counters.slots
-            for counters in self._counters_by_life.values()
+            for counters in self._counters_by_instance.values()
             if _is_active(counters, now)
         )
         return (own_slots + others) / own_slots
 
     def set_waiting(self, waiting_by_workspace: Mapping[str, int]) -> None:
-        """Set the numbers of requests that wait in this data centre."""
+        """Set the number of requests that wait in this data centre."""
         previous = self._own.waiting_by_workspace
         current = {name: n for name, n in waiting_by_workspace.items() if n}
         for name in previous.keys() | current.keys():
@@ -150,10 +158,14 @@
         self._own.waiting_by_workspace = current
 
     def publish(self, *, full: bool) -> Counters | None:
-        """Return the changed own counters, or all of them if `full`.
+        """Create the next counters message of this router.
+
+        Args:
+            full: Whether to include unchanged counters.
 
         Returns:
-            The message for the other owners, or None if nothing changed.
+            The message for the other slot owners, or None if `full` is false
+            and nothing has changed.
         """
         own = self._own
         workspaces: Iterable[str] = self._changed
@@ -177,27 +189,31 @@
         )
 
     def merge(self, message: Counters, now: float) -> None:
-        """Merge the counters of another life by maximum.
+        """Merge the counters of another router instance.
+
+        Served slot time never decreases. Other values are replaced if the
+        message is newer than the last one.
 
         Args:
-            message: Counters of any life.
+            message: Counters of any router instance. Those of this instance
+                are ignored.
             now: Time in seconds.
         """
         if message.life == self._life:
             return
-        counters = self._counters_by_life.get(message.life)
+        counters = self._counters_by_instance.get(message.life)
         is_first = counters is None
         if counters is None:
-            counters = _LifeCounters(message.data_centre, last_heard=now)
-            self._counters_by_life[message.life] = counters
+            counters = _OwnerCounters(message.data_centre, last_received_at=now)
+            self._counters_by_instance[message.life] = counters
         for entry in message.entries:
-            self._merge_served(counters, entry, is_base=is_first)
+            self._merge_served(counters, entry, is_baseline=is_first)
         if message.sequence > counters.sequence:
             self._merge_gauges(counters, message, now)
 
-    def set_unreachable(self, life: RouterLife) -> None:
-        """Drop the pending amounts of a life that ended or was cut off."""
-        counters = self._counters_by_life.get(life)
+    def mark_unreachable(self, life: RouterLife) -> None:
+        """Mark an instance as unreachable and drop its pending slot time."""
+        counters = self._counters_by_instance.get(life)
         if counters is None:
             return
         for workspace, pending in counters.pending_by_workspace.items():
@@ -205,39 +221,49 @@
         counters.pending_by_workspace = {}
         counters.is_reachable = False
 
-    def take_continued(self) -> set[str]:
-        """Return workspaces that were backlogged all through a partition.
+    def pop_still_backlogged(self) -> set[str]:
+        """Return and clear the workspaces still backlogged after a partition.
+
+        An instance reported waiting requests of these workspaces both before
+        it became inactive and in its first counters afterwards, so they must
+        not count as idle in between.
+        """
+        still_backlogged, self._still_backlogged = self._still_backlogged, set()
+        return still_backlogged
+
+    def remove_expired_counters(self, now: float) -> None:
+        """Remove the counters of instances that stopped sending them."""
+        for life, counters in list(self._counters_by_instance.items()):
+            if now - counters.last_received_at > COUNTERS_RETENTION_SECONDS:
+                self.mark_unreachable(life)
+                del self._counters_by_instance[life]
+
+    def remote_waiting_by_owner(
+        self, now: float
+    ) -> dict[RouterLife, dict[str, int]]:
+        """Return the waiting requests in other data centres.
 
-        They waited at a life both before it became unreachable and when it
-        was heard again, so they must not count as idle in between. Each is
-        returned once.
+        Returns:
+            Number of requests by workspace, for each active slot owner.
         """
-        continued, self._continued = self._continued, set()
-        return continued
-
-    def forget_old_lives(self, now: float) -> None:
-        """Forget lives that were not heard of for a long time."""
-        for life, counters in list(self._counters_by_life.items()):
-            if now - counters.last_heard > FORGET_LIFE_AFTER_SECONDS:
-                self.set_unreachable(life)
-                del self._counters_by_life[life]
-
-    def waiting_elsewhere(self, now: float) -> dict[RouterLife, dict[str, int]]:
-        """Return waiting requests of other data centres by active owner."""
         return {
             life: counters.waiting_by_workspace
-            for life, counters in self._counters_by_life.items()
+            for life, counters in self._counters_by_instance.items()
             if counters.data_centre != self._own.data_centre
             and counters.waiting_by_workspace
             and _is_active(counters, now)
         }
 
     def own_served_by_workspace(self) -> dict[str, float]:
-        """Return the slot time that this life granted, in slot-seconds."""
+        """Return the slot time that this instance served, in seconds."""
         return dict(self._own.served_by_workspace)
 
     def _merge_served(
-        self, counters: _LifeCounters, entry: CounterEntry, *, is_base: bool
+        self,
+        counters: _OwnerCounters,
+        entry: CounterEntry,
+        *,
+        is_baseline: bool,
     ) -> None:
         workspace = entry.workspace
         known = counters.served_by_workspace.get(workspace, 0.0)
@@ -245,27 +271,27 @@
         if served <= known:
             return
         counters.served_by_workspace[workspace] = served
-        if not is_base:
-            self._raise_score(workspace, served - known)
+        if not is_baseline:
+            self._add_served_score(workspace, served - known)
 
     def _merge_gauges(
-        self, counters: _LifeCounters, message: Counters, now: float
+        self, counters: _OwnerCounters, message: Counters, now: float
     ) -> None:
         was_active = _is_active(counters, now)
         waited_before = set(counters.waiting_by_workspace)
         counters.sequence = message.sequence
-        counters.last_heard = now
+        counters.last_received_at = now
         counters.slots = message.slots
         counters.is_reachable = True
         for entry in message.entries:
             self._replace_gauges(counters, entry)
         if not was_active:
-            self._continued |= waited_before & set(
+            self._still_backlogged |= waited_before & set(
                 counters.waiting_by_workspace
             )
 
     def _replace_gauges(
-        self, counters: _LifeCounters, entry: CounterEntry
+        self, counters: _OwnerCounters, entry: CounterEntry
     ) -> None:
         workspace = entry.workspace
         known = counters.pending_by_workspace.get(workspace, 0.0)
@@ -277,7 +303,7 @@
         else:
             counters.waiting_by_workspace.pop(workspace, None)
 
-    def _raise_score(self, workspace: str, served_seconds: float) -> None:
+    def _add_served_score(self, workspace: str, served_seconds: float) -> None:
         weight = self._weight_by_workspace.get(workspace, 1.0)
         _add(self._score_by_workspace, workspace, served_seconds / weight)
 
@@ -293,11 +319,11 @@
         )
 
 
-def _is_active(counters: _LifeCounters, now: float) -> bool:
-    """Return whether a life counts as an owner that hands out slots."""
+def _is_active(counters: _OwnerCounters, now: float) -> bool:
+    """Return whether an instance is reachable and sends counters."""
     return (
         counters.is_reachable
-        and now - counters.last_heard <= ACTIVE_OWNER_SECONDS
+        and now - counters.last_received_at <= ACTIVE_OWNER_SECONDS
     )
 
 
--- a/packages/core/src/lacewingspar_core/ownership.py
+++ b/packages/core/src/lacewingspar_core/ownership.py
@@ -6,12 +6,12 @@
 
 import xxhash
 
-# One owner carries at most this many upstreams of a service, which keeps its
-# grants within its share of the control budget at the target size.
+# Limits the slot allocations of one slot owner to its share of the control
+# traffic budget at the target fleet size.
 UPSTREAMS_PER_SHARD = 16
-# A router with less than this part of the largest router's processor time owns
-# no shards.
-LEAST_OWNER_CAPACITY_FRACTION = 0.5
+# Routers with less than this fraction of the largest router's processor time
+# own no shards.
+MINIMUM_OWNER_CAPACITY_FRACTION = 0.5
 
 _HASH_VALUES = 2**64
 
@@ -44,31 +44,36 @@
 def owners_of(
     service: str, shards: int, router_ids: Collection[str]
 ) -> list[str]:
-    """Return the owner of each shard of a service, or none without routers.
+    """Assign the shards of a service evenly to routers.
 
-    No router owns two shards more than another one, since shards are few.
+    The numbers of shards of two routers differ by at most one, because hashing
+    alone would spread so few shards unevenly.
+
+    Returns:
+        Router id of each shard's owner, or an empty list without routers.
     """
     owners: list[str] = []
     if not router_ids:
         return owners
-    free = set(router_ids)
+    unassigned = set(router_ids)
     for shard in range(shards):
-        owner = owner_of(service, shard, free)
+        owner = owner_of(service, shard, unassigned)
         assert owner is not None
         owners.append(owner)
-        free.discard(owner)
-        free = free or set(router_ids)
+        unassigned.discard(owner)
+        unassigned = unassigned or set(router_ids)
     return owners
 
 
 def weighted_shard_of(key: str, weights: Sequence[float]) -> int:
-    """Return the shard of a key, each in proportion to its weight.
+    """Return the shard of a key by weighted rendezvous hashing.
 
-    A change of one weight moves keys to or from its shard only.
+    Each shard receives keys in proportion to its weight. A change of one
+    weight only moves keys to or from that shard.
 
     Args:
-        key: The key.
-        weights: Weight of each shard; some are above 0.
+        key: Key to assign.
+        weights: Weight of each shard, at least one of them above 0.
     """
     return max(
         range(len(weights)),
@@ -77,10 +82,10 @@
 
 
 def capable_routers(capacity_by_router_id: Mapping[str, float]) -> list[str]:
-    """Return the routers that may own shards.
+    """Return the ids of the routers that are large enough to own shards.
 
-    An owner decides for all entry VMs beside its own callers, so that small
-    VMs own nothing while there are larger ones.
+    An owner makes decisions for all entry VMs in addition to serving its own
+    callers, so small VMs own nothing while there are larger ones.
 
     Args:
         capacity_by_router_id: Processor time of each router, in cores.
@@ -89,12 +94,16 @@
     return [
         router_id
         for router_id, capacity in capacity_by_router_id.items()
-        if capacity >= LEAST_OWNER_CAPACITY_FRACTION * largest
+        if capacity >= MINIMUM_OWNER_CAPACITY_FRACTION * largest
     ]
 
 
 def rank_of(router_id: str, key: str, router_ids: Sequence[str]) -> int:
-    """Return the position of a router in the rendezvous order of a key."""
+    """Return the position of a router in the rendezvous order of a key.
+
+    Returns:
+        The number of routers if the router is not among them.
+    """
     ordered = sorted(
         router_ids,
         key=lambda other: _hash(f"{key}/{other}"),
@@ -104,12 +113,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceOwnership:
-    """Who hands out the slots of one service.
+    """Slot owners of one service.
 
     Attributes:
-        owner_by_upstream: Router id by upstream id, over all data centres.
-        owners_by_data_centre: Router ids of the owners of the upstreams in
-            each data centre.
+        owner_by_upstream: Router id of the slot owner of each upstream, over
+            all data centres.
+        owners_by_data_centre: Router ids of the slot owners of the upstreams
+            in each data centre.
     """
 
     owner_by_upstream: Mapping[str, str]
@@ -117,28 +127,28 @@
 
     @property
     def owners(self) -> frozenset[str]:
-        """Return the router ids of all owners of the service."""
+        """Return the router ids of all slot owners of the service."""
         return frozenset(self.owner_by_upstream.values())
 
     def demand_receivers(
         self, service: str, data_centre: str
     ) -> frozenset[str]:
-        """Return the owners that holders of a data centre tell their demand.
+        """Return the slot owners to which ingress routers send their demand.
 
-        These are the owners of the data centre's own upstreams or, without
-        any, those of one other data centre.
+        These are the slot owners of the upstreams in the given data centre, or
+        in one other data centre if it has none.
         """
         local = self.owners_by_data_centre.get(data_centre)
         if local:
             return local
-        substitute = max(
+        fallback = max(
             self.owners_by_data_centre,
             key=lambda other: _hash(f"{service}/{data_centre}/{other}"),
             default=None,
         )
-        if substitute is None:
+        if fallback is None:
             return frozenset()
-        return self.owners_by_data_centre[substitute]
+        return self.owners_by_data_centre[fallback]
 
 
 def assign_owners(
@@ -146,11 +156,16 @@
     data_centre_by_upstream: Mapping[str, str],
     data_centre_by_router: Mapping[str, str],
 ) -> ServiceOwnership:
-    """Assign the upstreams of a service to the routers that serve.
+    """Assign the upstreams of a service to slot owners.
+
+    The owner of an upstream is a router in its data centre. If no router there
+    is serving, routers of other data centres take part, so that the upstream
+    does not idle while all entry VMs of its data centre are down.
 
-    An upstream belongs to a router of its own data centre. If no router of
-    that data centre serves, any other may own it, so that its capacity does
-    not idle while all entry VMs there are down.
+    Args:
+        service: Name of the service.
+        data_centre_by_upstream: Data centre of each upstream.
+        data_centre_by_router: Data centre of each router that is serving.
     """
     upstreams_by_data_centre: dict[str, list[str]] = {}
     for upstream_id, data_centre in data_centre_by_upstream.items():
@@ -190,7 +205,10 @@
 
 
 def _weighted_rank(text: str, weight: float) -> float:
-    """Return a rank; the chance to have the highest one is as the weight."""
+    """Return the rank of a hash key in weighted rendezvous hashing.
+
+    The probability of having the highest rank is proportional to the weight.
+    """
     uniform = (_hash(text) + 1) / (_HASH_VALUES + 1)
     return weight / -math.log(uniform) if weight > 0 else 0.0
 
--- a/packages/core/src/lacewingspar_core/replay.py
+++ b/packages/core/src/lacewingspar_core/replay.py
@@ -1,4 +1,4 @@
-"""Replay of recorded events of slot owners."""
+"""Replay of recorded slot owner events."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,8 +16,8 @@
     """First line of a trace.
 
     Attributes:
-        life: Router life that recorded the trace.
-        data_centre: Its data centre.
+        life: Router instance that recorded the trace.
+        data_centre: Data centre of that router.
     """
 
     life: RouterLife
@@ -25,13 +25,13 @@
 
 
 class TraceStep(msgspec.Struct, frozen=True):
-    """One event and what the slot owner decided.
+    """One event and the actions that the slot owner returned.
 
     Attributes:
         service: Service of the slot owner.
-        now: Time of the event in seconds.
-        event: The event.
-        actions: The recorded actions.
+        now: Monotonic time of the event in seconds.
+        event: The handled event.
+        actions: Actions that the slot owner returned when recording.
     """
 
     service: str
@@ -41,12 +41,12 @@
 
 
 class Mismatch(msgspec.Struct, frozen=True):
-    """The first step at which a replay differs from its trace.
+    """A step whose replayed actions differ from the recorded ones.
 
     Attributes:
-        step: Number of the step, from 0.
+        step: Index of the step, from 0.
         recorded: Actions in the trace.
-        replayed: Actions of the replay.
+        replayed: Actions that the slot owner returned in the replay.
     """
 
     step: int
@@ -59,10 +59,11 @@
 
     Attributes:
         steps: Number of steps that were replayed.
-        mismatch: First difference, or None if all actions agree.
-        offers_by_workspace: Number of offers by workspace, over all services.
-        largest_overcommitment: Largest number of uses of an upstream beyond
-            its slots.
+        mismatch: First mismatch, or None if all actions agree.
+        offers_by_workspace: Number of offers to each workspace, over all
+            services.
+        largest_overcommitment: Maximum number of allocations of an upstream in
+            excess of its slots.
     """
 
     steps: int
@@ -72,10 +73,10 @@
 
 
 def read_trace(lines: Iterable[bytes]) -> tuple[TraceHeader, list[TraceStep]]:
-    """Decode a trace of JSON lines.
+    """Decode a trace in JSON Lines format.
 
     Raises:
-        TraceError: A line is not valid.
+        TraceError: The trace is empty or a line is invalid.
     """
     iterator = iter(lines)
     try:
@@ -90,7 +91,7 @@
 
 
 def replay(header: TraceHeader, steps: Iterable[TraceStep]) -> ReplayOutcome:
-    """Run the recorded events through new slot owners."""
+    """Replay recorded events on new slot owners, up to the first mismatch."""
     owner_by_service: dict[str, SlotOwner] = {}
     offers: Counter[str] = Counter()
     overcommitment = 0
--- a/packages/core/src/lacewingspar_core/retry.py
+++ b/packages/core/src/lacewingspar_core/retry.py
@@ -1,35 +1,36 @@
-"""What may be retried, when, and how much of it."""
+"""Retry policy: retryable failures, retry budgets and backoff."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
 from enum import StrEnum
 from random import Random
 
-# A workspace may retry one in ten of its requests, which bounds the extra
-# load while every upstream fails; three retries are saved up for quiet times.
-BUDGET_PER_REQUEST = 0.1
-BUDGET_MAXIMUM = 3.0
+# A workspace may retry one in ten of its requests, which bounds the extra load
+# while every upstream fails. It accumulates at most three retries, so that it
+# can also retry when it sends few requests.
+RETRY_BUDGET_PER_REQUEST = 0.1
+MAX_RETRY_BUDGET = 3.0
 BACKOFF_BASE_SECONDS = 0.05
-BACKOFF_MAXIMUM_SECONDS = 2.0
-# Advice for refused callers; the header `Retry-After` has whole seconds.
-RETRY_AFTER_MINIMUM_SECONDS = 1.0
-RETRY_AFTER_MAXIMUM_SECONDS = 60.0
-# Adding 0.1 ten times gives slightly less than 1.
-_ROUNDING = 1e-9
+MAX_BACKOFF_SECONDS = 2.0
+# Bounds of the `Retry-After` header, which holds whole seconds.
+MIN_RETRY_AFTER_SECONDS = 1.0
+MAX_RETRY_AFTER_SECONDS = 60.0
+# Adding 0.1 ten times gives slightly less than 1 in floating point.
+_ROUNDING_TOLERANCE = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """A request after one of its attempts has failed.
+    """State of a request after a failed attempt.
 
     Attributes:
         workspace: Workspace of the request.
-        sent: Number of attempts so far, the failed one included.
-        failed_upstreams: Upstreams on which an attempt failed.
-        is_not_run: Whether the failed attempt certainly did not run.
-        is_idempotent: Whether the request may run more than once.
-        has_answer_started: Whether the caller has received a part of the
-            answer, which a second answer must not follow.
+        sent: Number of attempts so far, including the failed one.
+        failed_upstreams: Ids of the upstreams at which an attempt failed.
+        is_not_run: Whether the upstream certainly did not run the request.
+        is_idempotent: Whether the request may safely run more than once.
+        has_answer_started: Whether the caller has received part of the
+            response, so that no other response may follow.
     """
 
     workspace: str
@@ -52,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """The request is sent again.
+    """Decision to send the request again.
 
     Attributes:
-        delay_seconds: Time to wait before it is queued again.
+        delay_seconds: Backoff before the request is queued again.
     """
 
     delay_seconds: float
@@ -63,13 +64,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """The request gets its final answer now."""
+    """Decision not to retry the request."""
 
     reason: GiveUpReason
 
 
 class RetryPolicy:
-    """Decides on retries and keeps the retry budget of each workspace.
+    """Decides on retries and tracks the retry budget of each workspace.
 
     Args:
         random: Generator for the jitter.
@@ -80,17 +81,20 @@
         self._budget_by_workspace: dict[str, float] = {}
 
     def on_new_request(self, workspace: str) -> None:
-        """Credit the budget of a workspace for a request's first attempt."""
+        """Add to the budget of a workspace for a new request."""
         self._budget_by_workspace[workspace] = min(
-            BUDGET_MAXIMUM, self.budget(workspace) + BUDGET_PER_REQUEST
+            MAX_RETRY_BUDGET, self.budget(workspace) + RETRY_BUDGET_PER_REQUEST
         )
 
     def budget(self, workspace: str) -> float:
-        """Return the retries that a workspace has left; it starts full."""
-        return self._budget_by_workspace.get(workspace, BUDGET_MAXIMUM)
+        """Return the remaining retries of a workspace.
+
+        A new workspace starts with the maximum.
+        """
+        return self._budget_by_workspace.get(workspace, MAX_RETRY_BUDGET)
 
     def keep_workspaces(self, workspaces: Collection[str]) -> None:
-        """Forget the budgets of all other workspaces."""
+        """Remove the budgets of all workspaces that are not listed."""
         self._budget_by_workspace = {
             name: budget
             for name, budget in self._budget_by_workspace.items()
@@ -103,22 +107,22 @@
         upstreams: Collection[str],
         attempt_limit: int,
     ) -> Retry | GiveUp:
-        """Decide on a failed attempt and charge the budget for a retry.
+        """Decide whether to retry and charge the budget for a retry.
 
         Args:
-            attempt: The request and its failed attempt.
-            upstreams: Upstreams that could serve the request.
-            attempt_limit: Largest number of attempts.
+            attempt: State of the request after the failed attempt.
+            upstreams: Ids of the upstreams that can serve the request.
+            attempt_limit: Maximum number of attempts.
         """
-        reason = self._obstacle(attempt, upstreams, attempt_limit)
+        reason = self._give_up_reason(attempt, upstreams, attempt_limit)
         if reason is not None:
             return GiveUp(reason)
         workspace = attempt.workspace
-        left = self.budget(workspace) - 1.0
-        self._budget_by_workspace[workspace] = max(0.0, left)
+        remaining = self.budget(workspace) - 1.0
+        self._budget_by_workspace[workspace] = max(0.0, remaining)
         return Retry(backoff_seconds(attempt.sent, self._random))
 
-    def _obstacle(
+    def _give_up_reason(
         self,
         attempt: FailedAttempt,
         upstreams: Collection[str],
@@ -134,7 +138,7 @@
             (attempt.sent >= attempt_limit, GiveUpReason.ATTEMPTS_USED),
             (not has_other, GiveUpReason.NO_OTHER_UPSTREAM),
             (
-                self.budget(attempt.workspace) < 1.0 - _ROUNDING,
+                self.budget(attempt.workspace) < 1.0 - _ROUNDING_TOLERANCE,
                 GiveUpReason.BUDGET_USED,
             ),
         )
@@ -142,35 +146,33 @@
 
 
 def may_use(attempt: FailedAttempt, upstream_id: str) -> bool:
-    """Return whether a retry may go to an upstream."""
+    """Return whether no attempt of the request failed at an upstream."""
     return upstream_id not in attempt.failed_upstreams
 
 
 def backoff_seconds(sent: int, random: Random) -> float:
-    """Return the delay before the next attempt, with full jitter.
+    """Return the exponential backoff with full jitter, in seconds.
 
     Args:
         sent: Number of attempts so far, at least 1.
         random: Generator for the jitter.
     """
     exponent = min(sent - 1, 30)
-    ceiling = min(BACKOFF_MAXIMUM_SECONDS, BACKOFF_BASE_SECONDS * 2**exponent)
+    ceiling = min(MAX_BACKOFF_SECONDS, BACKOFF_BASE_SECONDS * 2**exponent)
     return random.uniform(0.0, ceiling)
 
 
 def retry_after_seconds(
     queue_length: int, slots: int, mean_slot_seconds: float
 ) -> float:
-    """Return when a refused caller should come back.
+    """Return the Retry-After value for a refused caller, in seconds.
 
     Args:
-        queue_length: Requests that wait before the caller's next one.
-        slots: Slots that serve this queue, or 0 if none does now.
-        mean_slot_seconds: Mean slot time of one request, or 0 if unknown.
+        queue_length: Requests ahead of the caller's next one.
+        slots: Slots that serve the queue, or 0 if there are none now.
+        mean_slot_seconds: Mean slot time of a request, or 0 if unknown.
     """
     if slots <= 0:
-        return RETRY_AFTER_MAXIMUM_SECONDS
+        return MAX_RETRY_AFTER_SECONDS
     wait = queue_length * mean_slot_seconds / slots
-    return min(
-        RETRY_AFTER_MAXIMUM_SECONDS, max(RETRY_AFTER_MINIMUM_SECONDS, wait)
-    )
+    return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, wait))
--- a/packages/core/src/lacewingspar_core/routing.py
+++ b/packages/core/src/lacewingspar_core/routing.py
@@ -1,4 +1,4 @@
-"""Routes, services and workspaces in force, and the choice of a route."""
+"""Active routing configuration, and route and target selection."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -9,7 +9,7 @@
 
 
 class RouteKind(StrEnum):
-    """What kind of answer a route gives and how often a call may run."""
+    """Response type of a route and whether its requests are idempotent."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTarget:
-    """A service that gets a share of a route's requests.
+    """A service that receives a share of a route's requests.
 
     Attributes:
         service: Name of the service.
-        weight: Its share relative to the route's other targets.
+        weight: Share of the requests relative to the route's other targets.
     """
 
     service: str
@@ -31,26 +31,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How requests below one path of one host are handled.
+    """Handling of the requests to one host whose paths share a prefix.
 
     Attributes:
         name: Name of the route.
         host: Host name in lower case.
         path_prefix: Path that begins and ends with a slash.
-        kind: Kind of answer.
+        kind: Response type and idempotency.
         targets: Services that serve the route.
-        timeout_seconds: Longest time from arrival to the end of the answer.
-        aim_seconds: Time from arrival to the first part of the answer within
-            which it is most useful to the caller.
-        priority: Rank; 0 is the most urgent.
-        attempt_limit: Largest number of upstreams that one request is sent to.
-        is_public: Whether callers need no key.
-        is_resumable: Whether another upstream may go on with a stream.
-        pause_aim_seconds: Longest pause between two events of a stream that
-            is still in time.
-        patience_seconds: Time from arrival after which callers give up a
-            request whose answer has not begun; infinite where they wait for the
-            whole of it.
+        timeout_seconds: Maximum time from the arrival of a request to the end
+            of its response.
+        aim_seconds: Latency target, from the arrival of a request to the first
+            chunk of its response.
+        priority: Priority of the requests; 0 is the most urgent.
+        attempt_limit: Maximum number of times that one request is sent.
+        is_public: Whether callers need no API key.
+        is_resumable: Whether another upstream can resume an interrupted stream.
+        pause_aim_seconds: Target for the gap between two events of a stream.
+        patience_seconds: First-chunk timeout of the callers, from the arrival
+            of a request; infinite if callers wait for the whole response.
     """
 
     name: str
@@ -69,19 +68,19 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request may safely run more than once."""
         return self.kind is RouteKind.IDEMPOTENT or self.is_resumable
 
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """What the operators say about the model engines of a service.
+    """Capacity of each model engine of a service, as configured.
 
     Attributes:
-        slots: Requests that an engine runs at once.
-        memory_tokens: Tokens that fit into the memory of an engine.
-        token_bytes: Size of one token in that memory, in bytes.
-        link_bytes_per_second: Rate of transfers between two engines.
+        slots: Maximum number of concurrent requests of an engine.
+        memory_tokens: Tokens that fit into the KV cache of an engine.
+        token_bytes: Size of one token in the KV cache, in bytes.
+        link_bytes_per_second: Bandwidth between two engines.
     """
 
     slots: int
@@ -92,11 +91,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamService:
-    """A pool of upstreams.
+    """A named service that is served by a pool of upstreams.
 
     Attributes:
         name: Name of the service.
-        engine: Profile of its model engines; None for a plain service.
+        engine: Capacity of its model engines, or None for a service without
+            models.
     """
 
     name: str
@@ -105,12 +105,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Limits on what callers send.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-        header_bytes: Largest size of a request's head.
-        body_bytes: Largest size of a request's body.
-        header_timeout_seconds: Longest time to send the head.
+        header_bytes: Maximum size of the request headers.
+        body_bytes: Maximum size of a request body.
+        header_timeout_seconds: Maximum time to receive the request headers.
         idle_timeout_seconds: Time after which an idle connection is closed.
     """
 
@@ -122,16 +122,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfiguration:
-    """All that operators have published, as one consistent version.
+    """One consistent version of the configuration published by operators.
 
     Attributes:
-        version: Version; a later one has a higher number.
+        version: Version number, which increases with every publication.
         routes: All routes.
         service_by_name: All services.
-        workspace_by_key: Workspace that holds each key.
-        limits: Limits on what callers send.
-        engine_tokens_per_second: Tokens that all model engines together read
-            and write in a second, as the operators estimate; 0 if unknown.
+        workspace_by_key: Workspace to which each API key belongs.
+        limits: Limits on the requests and connections of callers.
+        engine_tokens_per_second: Estimated tokens that all model engines
+            together read and generate in a second; 0 if unknown.
     """
 
     version: int
@@ -150,7 +150,7 @@
 
     @classmethod
     def of(cls, routes: Iterable[Route]) -> "RouteTable":
-        """Return the index of some routes."""
+        """Build the index of the given routes."""
         table = cls()
         for route in routes:
             by_prefix = table._routes_by_host.setdefault(route.host, {})
@@ -158,7 +158,7 @@
         return table
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path.
+        """Return the route with the longest prefix that matches a path.
 
         Args:
             host: Host name in lower case, without a port.
@@ -177,9 +177,9 @@
 
 
 def choose_target(route: Route, request_id: str) -> str:
-    """Return the service for a request, by a hash of its id.
+    """Return the target service of a request, chosen by a hash of its id.
 
-    The same request goes to the same service at every router.
+    Every router chooses the same service for the same request.
     """
     if len(route.targets) == 1:
         return route.targets[0].service
--- a/packages/core/src/lacewingspar_core/slots.py
+++ b/packages/core/src/lacewingspar_core/slots.py
@@ -1,4 +1,4 @@
-"""Slots of the upstreams that one owner hands out, and their uses."""
+"""Slots of owned upstreams and their allocation to requests."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedUpstream:
-    """An upstream whose slots this router hands out.
+    """An upstream whose slots this router allocates.
 
     Attributes:
         upstream_id: Name of the upstream.
-        slots: Number of requests that it may run at once now.
-        models: Models that it serves; empty for plain services.
-        accepts_work: Whether it may get new requests.
+        slots: Current maximum number of concurrent requests.
+        models: Models that it serves; empty for a service without models.
+        accepts_work: Whether it may receive new requests.
     """
 
     upstream_id: str
@@ -25,30 +25,33 @@
     accepts_work: bool = True
 
     def serves(self, model: str) -> bool:
-        """Return whether the upstream serves a model; "" stands for any."""
+        """Return whether the upstream serves a model, where "" matches any."""
         return not model or model in self.models
 
 
 @dataclass(slots=True)
-class SlotUse:
-    """One use of a slot, from the offer to the release.
+class SlotAllocation:
+    """A slot that is offered to or used by a router, until its release.
 
     Attributes:
-        slot: Identity of the use.
+        slot: Id of the allocation.
         upstream_id: Upstream that has the slot.
-        holder: Router that got the offer.
-        key: Demand that the offer answers.
+        ingress_router: Router that accepted the offer, or the receiver of an
+            open offer.
+        key: Demand for which the slot was offered.
         offered_at: Time of the offer in seconds.
         estimate_seconds: Expected slot time.
-        started_at: Time of binding, or None while the offer is open.
-        charged_seconds: Slot time that has been charged.
-        lease_until: Time at which the use ends unless the holder renews it.
-        is_remote: Whether the offer went to another data centre.
+        started_at: Time at which the offer was accepted, or None while it is
+            open.
+        charged_seconds: Slot time charged so far.
+        lease_until: Time at which the allocation expires unless the ingress
+            router renews it.
+        is_remote: Whether the offer was made to another data centre.
     """
 
     slot: SlotId
     upstream_id: str
-    holder: RouterLife
+    ingress_router: RouterLife
     key: DemandKey
     offered_at: float
     estimate_seconds: float
@@ -59,47 +62,50 @@
 
     @property
     def pending_seconds(self) -> float:
-        """Return the expected slot time that has not been charged."""
+        """Return the expected slot time that is not charged yet."""
         return max(0.0, self.estimate_seconds - self.charged_seconds)
 
 
 @dataclass(slots=True)
 class _UpstreamSlots:
-    """An owned upstream and the uses of its slots."""
+    """An owned upstream and the allocations of its slots."""
 
     upstream: OwnedUpstream
-    use_by_slot: dict[SlotId, SlotUse] = field(default_factory=dict)
+    allocation_by_slot: dict[SlotId, SlotAllocation] = field(
+        default_factory=dict
+    )
 
     @property
     def free(self) -> int:
         if not self.upstream.accepts_work:
             return 0
-        return max(0, self.upstream.slots - len(self.use_by_slot))
+        return max(0, self.upstream.slots - len(self.allocation_by_slot))
 
 
 class SlotTable:
-    """The owned upstreams and every use of their slots."""
+    """The owned upstreams and all allocations of their slots."""
 
     def __init__(self) -> None:
         self._slots_by_upstream: dict[str, _UpstreamSlots] = {}
-        self._use_by_slot: dict[SlotId, SlotUse] = {}
+        self._allocation_by_slot: dict[SlotId, SlotAllocation] = {}
 
     def set_upstreams(
         self, upstream_by_id: Mapping[str, OwnedUpstream]
-    ) -> list[SlotUse]:
+    ) -> list[SlotAllocation]:
         """Replace the owned upstreams.
 
         Returns:
-            Uses of upstreams that are no longer owned; they are dropped.
+            Allocations of upstreams that are no longer owned. They are removed
+            from the table.
         """
-        dropped: list[SlotUse] = []
+        dropped: list[SlotAllocation] = []
         for upstream_id in sorted(
             self._slots_by_upstream.keys() - upstream_by_id.keys()
         ):
             slots = self._slots_by_upstream.pop(upstream_id)
-            dropped.extend(slots.use_by_slot.values())
-        for use in dropped:
-            del self._use_by_slot[use.slot]
+            dropped.extend(slots.allocation_by_slot.values())
+        for allocation in dropped:
+            del self._allocation_by_slot[allocation.slot]
         for upstream_id, upstream in upstream_by_id.items():
             known = self._slots_by_upstream.get(upstream_id)
             if known is None:
@@ -109,58 +115,65 @@
         return dropped
 
     def owns(self, upstream_id: str) -> bool:
-        """Return whether the slots of an upstream are handed out here."""
+        """Return whether this router allocates the slots of an upstream."""
         return upstream_id in self._slots_by_upstream
 
     @property
     def total_slots(self) -> int:
-        """Return the number of slots of all owned upstreams."""
+        """Return the total number of slots of the owned upstreams."""
         return sum(
             slots.upstream.slots for slots in self._slots_by_upstream.values()
         )
 
     @property
     def overcommitment(self) -> int:
-        """Return the largest number of uses beyond an upstream's slots."""
+        """Return the maximum number of allocations in excess of the slots.
+
+        The maximum is taken over the owned upstreams.
+        """
         return max(
             (
-                len(slots.use_by_slot) - slots.upstream.slots
+                len(slots.allocation_by_slot) - slots.upstream.slots
                 for slots in self._slots_by_upstream.values()
             ),
             default=0,
         )
 
     def free_upstreams(self) -> list[tuple[OwnedUpstream, int]]:
-        """Return the upstreams that have free slots, with their number."""
+        """Return the upstreams with free slots and the number of these."""
         return [
             (slots.upstream, slots.free)
             for slots in self._slots_by_upstream.values()
             if slots.free > 0
         ]
 
-    def add(self, use: SlotUse) -> None:
-        """Add a use of an owned upstream's slot."""
-        self._slots_by_upstream[use.upstream_id].use_by_slot[use.slot] = use
-        self._use_by_slot[use.slot] = use
-
-    def get(self, slot: SlotId) -> SlotUse | None:
-        """Return the use of a slot, if it is known."""
-        return self._use_by_slot.get(slot)
-
-    def remove(self, slot: SlotId) -> SlotUse | None:
-        """Drop the use of a slot and return it."""
-        use = self._use_by_slot.pop(slot, None)
-        if use is not None:
-            self._slots_by_upstream[use.upstream_id].use_by_slot.pop(slot, None)
-        return use
-
-    def uses(self) -> Iterator[SlotUse]:
-        """Return all uses."""
-        return iter(tuple(self._use_by_slot.values()))
+    def add(self, allocation: SlotAllocation) -> None:
+        """Add an allocation of an owned upstream's slot."""
+        self._slots_by_upstream[allocation.upstream_id].allocation_by_slot[
+            allocation.slot
+        ] = allocation
+        self._allocation_by_slot[allocation.slot] = allocation
+
+    def get(self, slot: SlotId) -> SlotAllocation | None:
+        """Return the allocation with an id, or None if it is unknown."""
+        return self._allocation_by_slot.get(slot)
+
+    def remove(self, slot: SlotId) -> SlotAllocation | None:
+        """Remove and return the allocation with an id, if it exists."""
+        allocation = self._allocation_by_slot.pop(slot, None)
+        if allocation is not None:
+            self._slots_by_upstream[
+                allocation.upstream_id
+            ].allocation_by_slot.pop(slot, None)
+        return allocation
+
+    def allocations(self) -> Iterator[SlotAllocation]:
+        """Return an iterator over a copy of all allocations."""
+        return iter(tuple(self._allocation_by_slot.values()))
 
     def uses_by_upstream(self) -> dict[str, int]:
-        """Return the number of uses of each owned upstream."""
+        """Return the number of allocations of each owned upstream."""
         return {
-            upstream_id: len(slots.use_by_slot)
+            upstream_id: len(slots.allocation_by_slot)
             for upstream_id, slots in self._slots_by_upstream.items()
         }
--- a/packages/core/src/lacewingspar_core/upstream_health.py
+++ b/packages/core/src/lacewingspar_core/upstream_health.py
@@ -1,11 +1,11 @@
-"""Health of one upstream: its chart state, slot limit and next probe."""
+"""Health of one upstream: its state, concurrency limit and next probe."""
 
 from dataclasses import dataclass, replace
 from random import Random
 from typing import ClassVar
 
 from lacewingspar_core.adaptive_limit import (
-    REPORTS_STOPPED_SECONDS,
+    REPORT_TIMEOUT_SECONDS,
     AdaptiveLimit,
     new_limit,
     with_latency,
@@ -21,26 +21,27 @@
 STATE_FAILING = "failing"
 STATE_LEAVING = "leaving"
 STATE_GONE = "gone"
-# An unknown upstream gets work, so that a router that has just started does
-# not leave it idle; its first probe or answer decides.
+# An upstream in the unknown state receives requests, so that a router that has
+# just started does not leave it idle. Its first probe or response determines
+# the next state.
 _STATES_WITH_NEW_WORK = frozenset({STATE_UNKNOWN, STATE_HEALTHY})
 
-# A false alarm, such as one broken connection, costs this much idle time.
+# Idle time of the upstream after a false alarm, such as one broken connection.
 FIRST_PROBE_DELAY_SECONDS = 0.25
 PROBE_DELAY_FACTOR = 2.0
-# A restarted upstream waits at most this long for its next work.
+# A restarted upstream waits at most this long for new requests.
 MAXIMUM_PROBE_DELAY_SECONDS = 5.0
-# The delay is drawn between this part of it and all of it, so that the
-# routers do not probe at the same moment.
-MINIMUM_PROBE_JITTER = 0.5
+# Each delay is multiplied by a random factor between this and 1, so that the
+# routers do not probe at the same time.
+MINIMUM_PROBE_JITTER_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerOk:
-    """An answer was received completely.
+    """A response was received completely.
 
     Attributes:
-        latency_seconds: Time from sending the request to the answer's head.
+        latency_seconds: Time from sending the request to the response head.
     """
 
     NAME: ClassVar[str] = "answer_ok"
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenAnswer:
-    """An answer ended early or went silent, as after a crash."""
+    """A response was truncated or stalled, as after a crash."""
 
     NAME: ClassVar[str] = "broken_answer"
 
@@ -66,8 +67,8 @@
     """The upstream reported its load.
 
     Attributes:
-        running: Requests that it runs.
-        waiting: Requests that it has admitted but not started.
+        running: Number of requests that it runs.
+        waiting: Number of requests that it has admitted but not started.
         age_seconds: Age of the report.
     """
 
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportsStopped:
-    """No load report has arrived for `REPORTS_STOPPED_SECONDS`."""
+    """No load report has arrived for `REPORT_TIMEOUT_SECONDS`."""
 
     NAME: ClassVar[str] = "reports_stopped"
 
@@ -135,17 +136,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamHealth:
-    """What one router knows about one upstream.
+    """Health of an upstream as seen by one router.
 
     Attributes:
-        state: State of the chart `upstream`.
-        limit: Adapted concurrency limit.
-        last_report_at: Time of the last usable load report in seconds, or
-            None while the limit is frozen.
-        probe_delay_seconds: Delay before the last scheduled probe, 0 after a
-            complete answer.
-        next_probe_at: Time of the next probe in seconds, or None if the
-            state needs no probe.
+        state: State in the state chart `upstream`.
+        limit: Adaptive concurrency limit.
+        last_report_at: Arrival time of the last valid load report in seconds,
+            or None before the first one and while the limit is frozen.
+        probe_delay_seconds: Current probe delay without jitter, or 0 after a
+            complete response.
+        next_probe_at: Time of the next probe in seconds, or None if no probe
+            is due in this state.
     """
 
     state: str
@@ -156,14 +157,14 @@
 
     @property
     def slots(self) -> int:
-        """Return the number of requests that may run at once now."""
+        """Return the current maximum number of concurrent requests."""
         if self.state not in _STATES_WITH_NEW_WORK:
             return 0
         return self.limit.slots
 
 
 def new_health(slots: int, now: float) -> UpstreamHealth:
-    """Return the health of an upstream that has just been listed.
+    """Create the health of a newly listed upstream.
 
     Args:
         slots: Slots in the service document.
@@ -175,7 +176,7 @@
 
 
 def with_slots(health: UpstreamHealth, slots: int) -> UpstreamHealth:
-    """Return the health after a change of the document's slots."""
+    """Return the health after a change of the slots in the document."""
     return replace(health, limit=with_maximum(health.limit, slots))
 
 
@@ -183,7 +184,7 @@
     """Return whether `ReportsStopped` is due."""
     if health.last_report_at is None:
         return False
-    return now - health.last_report_at >= REPORTS_STOPPED_SECONDS
+    return now - health.last_report_at >= REPORT_TIMEOUT_SECONDS
 
 
 def apply_event(
@@ -193,29 +194,30 @@
 
     Args:
         health: Health before the event.
-        event: What happened.
+        event: The event.
         now: Time in seconds.
-        random: Generator for the jitter of probes.
+        random: Generator for the probe jitter.
     """
     state = CHART.next_state(health.state, event.NAME)
     changed = _with_measurement(health, event, now)
     if state != health.state or isinstance(event, ProbeFailed):
         changed = _with_probe_schedule(changed, state, now, random)
-    # Most events change no state and need no further copy.
+    # Avoid a second copy, since most events do not change the state.
     return changed if state == health.state else replace(changed, state=state)
 
 
 def _with_measurement(
     health: UpstreamHealth, event: HealthEvent, now: float
 ) -> UpstreamHealth:
-    """Return the health with a changed limit, in the state before."""
+    """Return the health with updated measurements and an unchanged state."""
     match event:
         case AnswerOk(latency_seconds):
             limit = with_latency(health.limit, latency_seconds)
-            # Only real work proves a recovery: an upstream that answers
-            # probes but breaks every request is probed ever more rarely.
-            is_proof = health.state in _STATES_WITH_NEW_WORK
-            delay = 0.0 if is_proof else health.probe_delay_seconds
+            # Only responses to requests prove a recovery, so that the delay
+            # keeps growing for an upstream that responds to probes but fails
+            # every request.
+            proves_recovery = health.state in _STATES_WITH_NEW_WORK
+            delay = 0.0 if proves_recovery else health.probe_delay_seconds
             return replace(health, limit=limit, probe_delay_seconds=delay)
         case LoadReported():
             return _with_report(health, event, now)
@@ -228,7 +230,7 @@
 def _with_report(
     health: UpstreamHealth, report: LoadReported, now: float
 ) -> UpstreamHealth:
-    if report.age_seconds >= REPORTS_STOPPED_SECONDS:
+    if report.age_seconds >= REPORT_TIMEOUT_SECONDS:
         return health
     limit = with_report(
         health.limit,
@@ -243,7 +245,7 @@
 def _with_probe_schedule(
     health: UpstreamHealth, state: str, now: float, random: Random
 ) -> UpstreamHealth:
-    """Return the health with the next probe for a state that is entered."""
+    """Return the health with the next probe scheduled for a new state."""
     if state == STATE_UNKNOWN:
         return replace(health, next_probe_at=now)
     if state != STATE_FAILING:
@@ -255,7 +257,7 @@
             health.probe_delay_seconds * PROBE_DELAY_FACTOR,
         ),
     )
-    jitter = random.uniform(MINIMUM_PROBE_JITTER, 1.0)
+    jitter = random.uniform(MINIMUM_PROBE_JITTER_FRACTION, 1.0)
     return replace(
         health, probe_delay_seconds=delay, next_probe_at=now + delay * jitter
     )
--- a/tests/core/test_adaptive_limit.py
+++ b/tests/core/test_adaptive_limit.py
@@ -22,26 +22,29 @@
 def test_waiting_requests_move_the_limit(
     maximum: int, value: float, waiting: int, expected: int
 ) -> None:
-    """Guards against a limit outside 1 and the document's slots."""
+    """The limit stays between 1 and the slots of the service document."""
     limit = replace(new_limit(maximum), value=float(value))
     assert with_report(limit, 1, waiting, 9.0, 9.0).slots == expected
 
 
 @pytest.mark.parametrize(
-    ("slow_answers", "waiting", "expected"),
+    ("slow_responses", "waiting", "expected"),
     [(20, 0, 32), (20, 1, 25), (60, 1, 32)],
 )
-def test_slow_answers(slow_answers: int, waiting: int, expected: int) -> None:
-    """Guards against throttling an upstream that serves long requests."""
-    latencies = [0.1, *[60.0] * slow_answers]
+def test_slow_responses(
+    slow_responses: int, waiting: int, expected: int
+) -> None:
+    """Slow responses without waiting requests must not lower the limit."""
+    latencies = [0.1, *[60.0] * slow_responses]
     limit = reduce(adaptive_limit.with_latency, latencies, new_limit(32))
     assert with_report(limit, 31, waiting, 1.0, 1.0).slots == expected
 
 
-def test_limit_settles_near_the_capacity() -> None:
-    """Guards against repeated decreases for requests admitted before them.
+def test_limit_converges_to_the_capacity() -> None:
+    """The limit is not lowered again for requests admitted before a decrease.
 
-    The upstream runs 24 requests at once for 10 s to 12 s but has 32 slots.
+    The upstream has 32 slots but runs only 24 requests at once, each of which
+    takes 10 s to 12 s.
     """
     limit, ends_at, waiting, slots = new_limit(32), [], 0, []
     for second in range(300):
--- a/tests/core/test_attempt_rules.py
+++ b/tests/core/test_attempt_rules.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt has ended."""
+"""Tests of the retry rules after an attempt."""
 
 import pytest
 
@@ -27,14 +27,17 @@
         ([Result.BROKEN, Result.NOT_RUN], True, 2, False, True),
     ],
 )
-def test_what_may_be_tried_again(
+def test_whether_another_attempt_is_allowed(
     results: list[AttemptResult],
     may_run_again: bool,
     limit: int,
     expected: bool,
     may_have_run: bool,
 ) -> None:
-    """Guards against second runs and false statements that none took place."""
+    """A request that must not run twice is not retried if it may have run.
+
+    `may_have_run` must not be false if an upstream may have run the request.
+    """
     history = AttemptHistory(may_run_again, limit)
     for number, result in enumerate(results):
         history.note(result, f"u{number}")
--- a/tests/core/test_demand.py
+++ b/tests/core/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand as an owner knows it."""
+"""Tests of the demand table of a slot owner."""
 
 import random
 
@@ -8,12 +8,12 @@
 from lacewingspar_core.identity import RouterLife
 from lacewingspar_core.messages import Demand, DemandEntry
 
-HOLDERS = [RouterLife(name, 1) for name in "abc"]
+INGRESS_ROUTERS = [RouterLife(name, 1) for name in "abc"]
 KEYS = [DemandKey(workspace, model) for workspace in "vw" for model in "mn"]
 
 
-class SlowTable:
-    """The same rules with sums that are computed each time."""
+class RecountingTable:
+    """Reference implementation that recomputes the totals on every read."""
 
     def __init__(self) -> None:
         self.waiting: dict[tuple[DemandKey, RouterLife], int] = {}
@@ -21,44 +21,55 @@
 
     def free(self, key: DemandKey) -> int:
         return sum(
-            max(0, count - self.offered.get(place, 0))
-            for place, count in self.waiting.items()
-            if place[0] == key
+            max(0, count - self.offered.get(pair, 0))
+            for pair, count in self.waiting.items()
+            if pair[0] == key
         )
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_kept_sums_equal_computed_sums(seed: int) -> None:
-    """Guards against requests that are counted twice or forgotten."""
-    draw = random.Random(seed)
-    table, slow = DemandTable(), SlowTable()
+def test_running_totals_equal_recounted_totals(seed: int) -> None:
+    """Requests must not be counted twice or omitted from the totals."""
+    generator = random.Random(seed)
+    table, recounting = DemandTable(), RecountingTable()
     for sequence in range(300):
-        key, holder = draw.choice(KEYS), draw.choice(HOLDERS)
-        place = (key, holder)
-        is_known = slow.waiting.get(place, 0) or slow.offered.get(place, 0)
-        match draw.choice(["update", "offer", "end", "taken", "gone"]):
+        key, ingress_router = (
+            generator.choice(KEYS),
+            generator.choice(INGRESS_ROUTERS),
+        )
+        pair = (key, ingress_router)
+        is_known = recounting.waiting.get(pair, 0) or recounting.offered.get(
+            pair, 0
+        )
+        match generator.choice(["update", "offer", "end", "taken", "gone"]):
             case "update":
-                _update(table, slow, draw, holder, sequence)
+                _update(table, recounting, generator, ingress_router, sequence)
             case "offer":
-                table.note_offer(key, holder)
+                table.record_offer(key, ingress_router)
                 if is_known:
-                    slow.offered[place] = slow.offered.get(place, 0) + 1
+                    recounting.offered[pair] = (
+                        recounting.offered.get(pair, 0) + 1
+                    )
             case "end":
-                accepted = draw.random() < 0.7
-                table.note_offer_end(key, holder, accepted=accepted)
-                waiting = slow.waiting.get(place, 0)
-                slow.waiting[place] = max(0, waiting - 1) * accepted
-                slow.offered[place] = max(0, slow.offered.get(place, 0) - 1)
+                accepted = generator.random() < 0.7
+                table.record_offer_end(key, ingress_router, accepted=accepted)
+                waiting = recounting.waiting.get(pair, 0)
+                recounting.waiting[pair] = max(0, waiting - 1) * accepted
+                recounting.offered[pair] = max(
+                    0, recounting.offered.get(pair, 0) - 1
+                )
             case "taken":
-                table.note_taken(key, holder)
-                slow.waiting[place] = max(0, slow.waiting.get(place, 0) - 1)
-            case "gone" if draw.random() < 0.2:
-                table.remove_holder(holder)
+                table.record_remote_offer(key, ingress_router)
+                recounting.waiting[pair] = max(
+                    0, recounting.waiting.get(pair, 0) - 1
+                )
+            case "gone" if generator.random() < 0.2:
+                table.remove_ingress_router(ingress_router)
                 for other in KEYS:
-                    slow.waiting.pop((other, holder), None)
-                    slow.offered.pop((other, holder), None)
-        free = {key: slow.free(key) for key in KEYS}
-        assert set(table.open_keys()) == {k for k, n in free.items() if n}
+                    recounting.waiting.pop((other, ingress_router), None)
+                    recounting.offered.pop((other, ingress_router), None)
+        free = {key: recounting.free(key) for key in KEYS}
+        assert set(table.unoffered_keys()) == {k for k, n in free.items() if n}
         for workspace, count in table.waiting_by_workspace().items():
             assert count == sum(
                 n for k, n in free.items() if k.workspace == workspace
@@ -67,20 +78,23 @@
 
 def _update(
     table: DemandTable,
-    slow: SlowTable,
-    draw: random.Random,
-    holder: RouterLife,
+    recounting: RecountingTable,
+    generator: random.Random,
+    ingress_router: RouterLife,
     sequence: int,
 ) -> None:
-    is_full = draw.random() < 0.5
+    is_full = generator.random() < 0.5
     waiting_by_key = {
-        key: draw.randrange(3) for key in draw.sample(KEYS, draw.randrange(4))
+        key: generator.randrange(3)
+        for key in generator.sample(KEYS, generator.randrange(4))
     }
     entries = tuple(
         DemandEntry(key.workspace, key.model, waiting, 0.0, 1.0)
         for key, waiting in waiting_by_key.items()
     )
-    table.update(holder, Demand("s", sequence, is_full, entries), 0.0)
+    table.update(ingress_router, Demand("s", sequence, is_full, entries), 0.0)
     for key in KEYS:
         if key in waiting_by_key or is_full:
-            slow.waiting[(key, holder)] = waiting_by_key.get(key, 0)
+            recounting.waiting[(key, ingress_router)] = waiting_by_key.get(
+                key, 0
+            )
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -1,14 +1,14 @@
-"""Hand-out of slots by their owner."""
+"""Tests of the allocation of slots by the slot owner."""
 
 from collections import Counter
 
 import pytest
 
 from lacewingspar_core.dispatch import (
-    ADOPTION_SECONDS,
     CHARGE_AFTER_REPORT_SECONDS,
     OFFER_TIMEOUT_SECONDS,
     SLOT_LEASE_SECONDS,
+    TAKEOVER_WAIT_SECONDS,
     SlotOwner,
 )
 from lacewingspar_core.events import (
@@ -37,7 +37,7 @@
 from lacewingspar_core.slots import OwnedUpstream
 
 OWNER = RouterLife("owner", 1)
-HOLDER = RouterLife("holder", 1)
+INGRESS = RouterLife("ingress", 1)
 REMOTE = RouterLife("remote-owner", 1)
 
 
@@ -69,7 +69,7 @@
 
 
 def receive(
-    owner: SlotOwner, message: object, now: float, sender: RouterLife = HOLDER
+    owner: SlotOwner, message: object, now: float, sender: RouterLife = INGRESS
 ) -> list[OwnerAction]:
     return owner.handle(MessageReceived(sender, message), now)  # type: ignore[arg-type]
 
@@ -123,9 +123,9 @@
 
 
 def test_shares_are_even_whatever_requests_cost() -> None:
-    """Guards against a workspace that gains by expensive requests."""
+    """A workspace must not gain slot time by sending expensive requests."""
     owner = make_owner(slots=4)
-    cost_by_workspace = {"cheap": 0.1, "dear": 3.0, "flood": 1.0}
+    cost_by_workspace = {"cheap": 0.1, "expensive": 3.0, "flood": 1.0}
     served: Counter[str] = Counter()
     now = 0.0
     running: list[tuple[float, Offer]] = []
@@ -141,14 +141,14 @@
         cost = cost_by_workspace[offer.workspace]
         served[offer.workspace] += cost
         sequence += 1
-        waiting = {"cheap": 9, "dear": 9, "flood": 900}
+        waiting = {"cheap": 9, "expensive": 9, "flood": 900}
         actions = receive(owner, demand(sequence, waiting), now)
         actions += release(owner, offer, now, cost)
     assert max(served.values()) - min(served.values()) < 2 * 3.0
 
 
-def test_idle_time_saves_nothing_up() -> None:
-    """Guards against a workspace that returns and takes every slot."""
+def test_idle_workspace_accumulates_no_credit() -> None:
+    """A workspace that returns from idle must not receive every slot."""
     owner = make_owner()
     now = 0.0
     actions = receive(owner, demand(1, {"busy": 9}), now)
@@ -169,8 +169,8 @@
     assert abs(grants["busy"] - grants["new"]) <= 2
 
 
-def test_workspace_in_debt_keeps_an_eighth_of_an_equal_share() -> None:
-    """Guards against starvation after a partition."""
+def test_high_score_leaves_an_eighth_of_an_equal_share() -> None:
+    """A workspace with a high score after a partition must not starve."""
     owner = make_owner()
     receive(owner, demand(1, {"ahead": 9, "behind": 9}), 0.0)
     owner.ledger.charge("ahead", 10_000.0, 0.0)
@@ -187,27 +187,27 @@
     assert grants["ahead"] >= sum(grants.values()) // 16 - 1
 
 
-@pytest.mark.parametrize("answer", ["declined", "silent", "holder gone"])
-def test_unused_offer_returns_to_the_owner(answer: str) -> None:
-    """Guards against a slot that idles behind a dead offer."""
+@pytest.mark.parametrize("answer", ["declined", "no reply", "unreachable"])
+def test_unaccepted_offer_frees_the_slot(answer: str) -> None:
+    """A slot must not stay idle for an offer that nobody will accept."""
     owner = make_owner()
     (offer,) = offers(receive(owner, demand(1, {"w1": 1}), 0.0))
     match answer:
         case "declined":
             message = OfferDeclined("chat", offer.slot, "w1", "")
             receive(owner, message, 0.1)
-        case "silent":
+        case "no reply":
             owner.handle(TimePassed(), OFFER_TIMEOUT_SECONDS)
         case _:
-            owner.handle(RouterGone(HOLDER), 0.1)
+            owner.handle(RouterGone(INGRESS), 0.1)
     other = RouterLife("other", 1)
     made = offers(receive(owner, demand(1, {"w2": 1}), 1.0, sender=other))
     assert [made_offer.workspace for made_offer in made] == ["w2"]
     assert owner.ledger.score("w1", 1.0) == 0.0
 
 
-def test_lease_ends_without_reports() -> None:
-    """Guards against slots that a dead holder keeps."""
+def test_lease_expires_without_reports() -> None:
+    """Slots of a stopped ingress router must become free."""
     owner = make_owner()
     (offer,) = offers(receive(owner, demand(1, {"w1": 2}), 0.0))
     accept(owner, offer, 0.0)
@@ -217,8 +217,8 @@
     assert offers(owner.handle(TimePassed(), 3.0 + SLOT_LEASE_SECONDS))
 
 
-def test_use_without_reports_is_not_charged_until_its_lease_ends() -> None:
-    """Guards against a workspace that pays for a lost release message."""
+def test_unreported_slot_is_not_charged_until_its_lease_expires() -> None:
+    """A workspace must not pay for the lease if a release message is lost."""
     owner = make_owner()
     (offer,) = offers(receive(owner, demand(1, {"w1": 1}), 0.0))
     accept(owner, offer, 0.0)
@@ -226,8 +226,8 @@
     assert owner.ledger.served_score("w1") == CHARGE_AFTER_REPORT_SECONDS
 
 
-def test_offer_that_moves_with_its_shard_frees_the_demand() -> None:
-    """Guards against demand that stays hidden behind a dropped offer."""
+def test_moved_shard_frees_the_demand_of_its_offers() -> None:
+    """A request whose offer was dropped with its shard gets a new offer."""
     owner = make_owner()
     receive(owner, demand(1, {"w1": 1}), 0.0)
     set_upstreams(owner)
@@ -236,11 +236,11 @@
     assert owner.ledger.score("w1", 1.0) == 1.0
 
 
-def test_new_owner_adopts_uses_before_it_offers() -> None:
-    """Guards against overcommitment when a shard moves."""
+def test_new_owner_takes_over_slots_in_use_before_it_makes_offers() -> None:
+    """An upstream must not be overcommitted when its shard moves."""
     owner = SlotOwner("chat", OWNER, "north")
     event = UpstreamsChanged(
-        {"u1": OwnedUpstream("u1", 1, frozenset())}, {}, frozenset({HOLDER})
+        {"u1": OwnedUpstream("u1", 1, frozenset())}, {}, frozenset({INGRESS})
     )
     owner.handle(event, 0.0)
     assert not offers(receive(owner, demand(1, {"w1": 1}), 0.1))
@@ -256,11 +256,11 @@
 def test_new_owner_waits_a_bounded_time() -> None:
     owner = SlotOwner("chat", OWNER, "north")
     event = UpstreamsChanged(
-        {"u1": OwnedUpstream("u1", 1, frozenset())}, {}, frozenset({HOLDER})
+        {"u1": OwnedUpstream("u1", 1, frozenset())}, {}, frozenset({INGRESS})
     )
     owner.handle(event, 0.0)
     receive(owner, demand(1, {"w1": 1}), 0.1)
-    assert offers(owner.handle(TimePassed(), ADOPTION_SECONDS))
+    assert offers(owner.handle(TimePassed(), TAKEOVER_WAIT_SECONDS))
 
 
 def remote_counters(sequence: int, waiting: int) -> Counters:
@@ -269,7 +269,7 @@
 
 
 def test_idle_slot_goes_to_another_data_centre() -> None:
-    """Guards against capacity that idles while work waits elsewhere."""
+    """A slot must not stay idle while requests wait in other data centres."""
     owner = make_owner()
     actions = receive(owner, remote_counters(0, 3), 0.0, sender=REMOTE)
     assert [(a.receiver, a.message.workspace) for a in actions] == [  # type: ignore[union-attr]
@@ -277,13 +277,13 @@
     ]
 
 
-def test_offer_from_elsewhere_is_forwarded_to_a_holder() -> None:
+def test_remote_offer_is_forwarded_to_an_ingress_router() -> None:
     owner = SlotOwner("chat", OWNER, "north")
     set_upstreams(owner, OwnedUpstream("u1", 1, frozenset(), False))
     receive(owner, demand(1, {"w1": 1}), 0.0)
     offer = Offer("chat", SlotId(REMOTE, 3), "u9", "w1", "", False)
     (action,) = receive(owner, offer, 0.1, sender=REMOTE)
-    assert action.receiver == HOLDER
+    assert action.receiver == INGRESS
     assert isinstance(action.message, Offer)
     assert action.message.is_forwarded
     (declined,) = receive(owner, offer, 0.2, sender=REMOTE)
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -1,4 +1,4 @@
-"""Service counters and scores."""
+"""Tests of the counters and scores of the ledger."""
 
 import random
 
@@ -9,7 +9,7 @@
 from lacewingspar_core.identity import RouterLife
 from lacewingspar_core.ledger import (
     ACTIVE_OWNER_SECONDS,
-    FORGET_LIFE_AFTER_SECONDS,
+    COUNTERS_RETENTION_SECONDS,
     ServiceLedger,
 )
 from lacewingspar_core.messages import CounterEntry, Counters
@@ -42,8 +42,8 @@
     )
 
 
-def test_first_message_of_a_life_sets_the_base() -> None:
-    """Guards against a restarted router that sees old service as new."""
+def test_first_message_of_an_instance_sets_the_baseline() -> None:
+    """A restarted router must not count slot time served before its start."""
     ledger = make_ledger()
     ledger.merge(counters(0, ("w1", 500.0, 0.0, 0)), now=0.0)
     assert ledger.score("w1", 1.0) == 0.0
@@ -59,7 +59,7 @@
     for message in (first, third, second, third, first):
         ledger.merge(message, now=1.0)
     assert ledger.score("w1", 1.0) == pytest.approx(8.0)
-    assert ledger.waiting_elsewhere(1.0) == {}
+    assert ledger.remote_waiting_by_owner(1.0) == {}
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -93,7 +93,7 @@
 
 
 def test_changed_weight_does_not_revalue_past_service() -> None:
-    """Guards against a weight edit that starves a workspace."""
+    """A lower weight must not starve a workspace for past slot time."""
     ledger = make_ledger()
     ledger.charge("w1", 100.0, 0.0)
     ledger.set_weights({"w1": 0.1})
@@ -105,35 +105,35 @@
     ledger.set_slots(4)
     ledger.merge(counters(0, slots=12), now=0.0)
     ledger.charge("w1", 0.0, 2.0)
-    ledger.note_grant("w1", 2.0)
-    assert ledger.echo_factor(0.0) == 4.0
-    assert ledger.score("w1", ledger.echo_factor(0.0)) == 8.0
+    ledger.add_unpublished_grant("w1", 2.0)
+    assert ledger.fleet_slot_ratio(0.0) == 4.0
+    assert ledger.score("w1", ledger.fleet_slot_ratio(0.0)) == 8.0
     ledger.publish(full=False)
-    assert ledger.score("w1", ledger.echo_factor(0.0)) == 2.0
+    assert ledger.score("w1", ledger.fleet_slot_ratio(0.0)) == 2.0
 
 
-def test_silent_owner_does_not_count_as_choosing_alike() -> None:
+def test_inactive_owner_does_not_count_for_the_slot_ratio() -> None:
     ledger = make_ledger()
     ledger.set_slots(4)
     ledger.merge(counters(0, slots=12), now=0.0)
-    assert ledger.echo_factor(ACTIVE_OWNER_SECONDS + 0.1) == 1.0
+    assert ledger.fleet_slot_ratio(ACTIVE_OWNER_SECONDS + 0.1) == 1.0
 
 
-def test_gone_life_leaves_no_pending_amount() -> None:
-    """Guards against a workspace charged for ever for a lost request."""
+def test_unreachable_instance_leaves_no_pending_slot_time() -> None:
+    """A workspace must not be charged forever for a lost request."""
     ledger = make_ledger()
     ledger.merge(counters(0, ("w1", 0.0, 5.0, 3)), now=0.0)
-    ledger.set_unreachable(PEER)
+    ledger.mark_unreachable(PEER)
     assert ledger.score("w1", 1.0) == 0.0
-    assert ledger.waiting_elsewhere(0.0) == {}
+    assert ledger.remote_waiting_by_owner(0.0) == {}
 
 
-def test_forgotten_life_that_returns_sets_a_new_base() -> None:
+def test_removed_instance_that_returns_sets_a_new_baseline() -> None:
     ledger = make_ledger()
     ledger.merge(counters(0, ("w1", 0.0, 0.0, 0)), now=0.0)
     ledger.merge(counters(1, ("w1", 9.0, 0.0, 0)), now=0.0)
-    later = FORGET_LIFE_AFTER_SECONDS + 1.0
-    ledger.forget_old_lives(later)
+    later = COUNTERS_RETENTION_SECONDS + 1.0
+    ledger.remove_expired_counters(later)
     ledger.merge(counters(2, ("w1", 12.0, 0.0, 0)), now=later)
     assert ledger.score("w1", 1.0) == 9.0
 
@@ -160,17 +160,17 @@
     firsts = set()
     for number in range(8):
         ledger = ServiceLedger("chat", RouterLife(f"r{number}", 1), "north")
-        firsts.add(min(names, key=ledger.tie_order))
+        firsts.add(min(names, key=ledger.tie_break_rank))
     assert len(firsts) > 4
 
 
-def test_workspace_that_waits_through_a_partition_has_not_been_idle() -> None:
-    """Guards against a debt that is forgotten when a partition heals."""
+def test_workspace_backlogged_throughout_a_partition_is_not_idle() -> None:
+    """Service received during a partition still counts after it ends."""
     ledger = make_ledger()
     ledger.merge(counters(0, ("far", 0.0, 0.0, 3), ("idle", 0.0, 0.0, 1)), 0.0)
-    ledger.set_unreachable(PEER)
-    assert ledger.waiting_elsewhere(1.0) == {}
+    ledger.mark_unreachable(PEER)
+    assert ledger.remote_waiting_by_owner(1.0) == {}
     ledger.merge(counters(9, ("far", 5.0, 0.0, 3), ("idle", 0.0, 0.0, 0)), 60.0)
-    assert ledger.take_continued() == {"far"}
-    assert ledger.take_continued() == set()
-    assert ledger.waiting_elsewhere(60.0) == {PEER: {"far": 3}}
+    assert ledger.pop_still_backlogged() == {"far"}
+    assert ledger.pop_still_backlogged() == set()
+    assert ledger.remote_waiting_by_owner(60.0) == {PEER: {"far": 3}}
--- a/tests/core/test_ownership.py
+++ b/tests/core/test_ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of upstream shards."""
+"""Tests of the ownership of upstream shards."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def test_only_shards_of_a_lost_router_move() -> None:
-    """Guards against a router failure that moves every shard."""
+    """A router failure must not move the shards of other routers."""
     services = [f"service-{number}" for number in range(200)]
     before = {name: owner_of(name, 0, ROUTERS) for name in services}
     after = {name: owner_of(name, 0, ROUTERS[1:]) for name in services}
@@ -54,7 +54,7 @@
 def test_small_routers_own_nothing_beside_larger_ones(
     capacities: list[float], expected: list[int]
 ) -> None:
-    """Guards against a pool whose decisions wait for a small VM."""
+    """Decisions for a pool must not wait for a small VM."""
     capacity_by_id = {
         f"router-{number}": capacity
         for number, capacity in enumerate(capacities)
@@ -68,7 +68,7 @@
 def test_shards_of_a_service_spread_over_the_routers(
     shards: int, routers: int
 ) -> None:
-    """Guards against one router that owns all shards of a service."""
+    """No router may own most shards of a service."""
     for number in range(50):
         owners = owners_of(f"service-{number}", shards, ROUTERS[:routers])
         counts = [owners.count(router) for router in ROUTERS[:routers]]
@@ -80,8 +80,8 @@
     assert owners_of("service", 3, []) == []
 
 
-def test_keys_spread_as_the_weights() -> None:
-    """Guards against a small shard that gets as much as a large one."""
+def test_keys_spread_in_proportion_to_the_weights() -> None:
+    """A small shard must not receive as many keys as a large one."""
     weights = [14, 11, 20, 0]
     shards = [weighted_shard_of(str(key), weights) for key in range(9000)]
     for shard, weight in enumerate(weights):
--- a/tests/core/test_queueing.py
+++ b/tests/core/test_queueing.py
@@ -1,10 +1,10 @@
-"""Requests that wait at one router."""
+"""Tests of the request queue of one router."""
 
 import pytest
 
 from lacewingspar_core.documents import RequestClass
 from lacewingspar_core.queueing import (
-    GRANTS_BEFORE_PREDICTION,
+    MIN_GRANTS_FOR_PREDICTION,
     Refusal,
     RequestQueue,
     WaitingRequest,
@@ -47,7 +47,7 @@
     return best.request_id if best else None
 
 
-def test_flood_fills_only_its_own_queue() -> None:
+def test_full_queue_does_not_affect_other_workspaces() -> None:
     queue = make_queue(limit=2)
     refusals = [queue.add(request(n), 0.0) for n in range(3)]
     assert [item.code if item else None for item in refusals] == [
@@ -58,7 +58,7 @@
     assert queue.add(request(9, workspace="w2"), 0.0) is None
 
 
-def test_refusal_says_when_to_come_back() -> None:
+def test_refusal_has_a_retry_after_value() -> None:
     queue = make_queue(limit=1)
     queue.add(request(1), 0.0)
     refusal = queue.add(request(2), 0.0)
@@ -83,7 +83,7 @@
     now: float,
     expected: str,
 ) -> None:
-    """Guards against a batch review that urgent calls overtake for ever."""
+    """Urgent requests must not starve a batch review."""
     queue = make_queue()
     for number, (name, at, deadline) in enumerate((first, second), start=1):
         queue.add(
@@ -103,13 +103,13 @@
 def test_request_fits_the_upstream(
     waiting: WaitingRequest, expected: str | None
 ) -> None:
-    """Guards against a retry at the upstream that failed."""
+    """A retry must not go to an upstream that failed or lacks the model."""
     queue = make_queue()
     queue.add(waiting, 0.0)
     assert pop(queue, 0.0) == expected
 
 
-def test_passed_deadline_is_taken_out_at_once() -> None:
+def test_request_past_its_deadline_is_removed() -> None:
     queue = make_queue()
     queue.add(request(1, deadline=5.0), 0.0)
     queue.add(request(2, deadline=9.0), 0.0)
@@ -121,7 +121,11 @@
 
 
 def serve(queue: RequestQueue, count: int, start: float, gap: float) -> float:
-    """Grant requests one after the other while more of them wait."""
+    """Add and pop requests at a fixed interval while others wait.
+
+    Returns:
+        The time of the last grant.
+    """
     now = start
     for number in range(count):
         now += gap
@@ -134,18 +138,18 @@
     queue = make_queue()
     for number in range(10):
         queue.add(request(number), 0.0)
-    now = serve(queue, 3 * GRANTS_BEFORE_PREDICTION, 0.0, 1.0)
+    now = serve(queue, 3 * MIN_GRANTS_FOR_PREDICTION, 0.0, 1.0)
     refusal = queue.add(request(50, deadline=now + 2.0), now)
     assert refusal is not None
     assert refusal.code == "deadline_unreachable"
     assert queue.add(request(51, deadline=now + 60.0), now) is None
 
 
-def test_quiet_time_is_not_taken_for_a_slow_queue() -> None:
-    """Guards against refusals of a burst after requests that came rarely."""
+def test_empty_queue_time_does_not_count_as_slow_grants() -> None:
+    """A burst after rare requests must not be refused."""
     queue = make_queue()
     now = 0.0
-    for number in range(3 * GRANTS_BEFORE_PREDICTION):
+    for number in range(3 * MIN_GRANTS_FOR_PREDICTION):
         now += 10.0
         queue.add(request(2 * number, at=now), now)
         queue.add(request(2 * number + 1, at=now), now)
--- a/tests/core/test_replay.py
+++ b/tests/core/test_replay.py
@@ -1,4 +1,4 @@
-"""Replay of the recorded traces."""
+"""Tests of the replay of recorded traces."""
 
 from pathlib import Path
 
@@ -18,8 +18,8 @@
 
 
 @pytest.mark.parametrize("file", TRACE_FILES, ids=lambda file: file.stem)
-def test_trace_has_its_stated_outcome(file: Path) -> None:
-    """Guards against a change of decisions that nobody intended."""
+def test_trace_has_the_recorded_outcome(file: Path) -> None:
+    """Unintended changes of slot owner decisions must be detected."""
     with file.open("rb") as lines:
         header, steps = read_trace(lines)
     stated = msgspec.json.decode(
@@ -29,11 +29,11 @@
 
 
 def test_traces_exist() -> None:
-    """Guards against a replay that checks nothing."""
+    """Without trace files the replay test would check nothing."""
     assert TRACE_FILES
 
 
-def test_changed_decision_is_found() -> None:
+def test_changed_action_is_a_mismatch() -> None:
     with TRACE_FILES[0].open("rb") as lines:
         header, steps = read_trace(lines)
     number, step = next(
--- a/tests/core/test_retry.py
+++ b/tests/core/test_retry.py
@@ -1,4 +1,4 @@
-"""Retry rules, budgets and advice."""
+"""Tests of retry decisions, budgets, backoff and Retry-After values."""
 
 from dataclasses import replace
 from random import Random
@@ -22,7 +22,7 @@
     ],
 )
 def test_what_is_retried(change: dict[str, object], reason: str | None) -> None:
-    """Guards against second runs and retries on the failed upstream."""
+    """Requests must not run twice or be retried at the failed upstream."""
     policy = retry.RetryPolicy(Random(1))
     decision = policy.decide(replace(FAILED, **change), ["a", "b"], 3)
     assert getattr(decision, "reason", None) == reason
@@ -34,7 +34,7 @@
 
 
 def test_budget() -> None:
-    """Guards against retries that multiply the load of an outage."""
+    """Retries must not multiply the load during an outage."""
     policy = retry.RetryPolicy(Random(1))
     assert _retries(policy) == 3
     for requests, retries in ((10, 1), (1000, 3)):
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize(("sent", "limit"), [(1, 0.05), (3, 0.2), (2000, 2.0)])
 def test_backoff_has_full_jitter(sent: int, limit: float) -> None:
-    """Guards against retries of many requests at the same moment."""
+    """Retries of many requests must not happen at the same time."""
     random = Random(1)
     delays = [retry.backoff_seconds(sent, random) for _ in range(200)]
     assert min(delays) < limit * 0.1
@@ -59,7 +59,7 @@
     ("queue", "slots", "expected"),
     [(40, 8, 10), (0, 8, 1), (9, 0, 60), (900, 1, 60)],
 )
-def test_advice_follows_the_queue(
+def test_retry_after_depends_on_the_queue(
     queue: int, slots: int, expected: int
 ) -> None:
     assert retry.retry_after_seconds(queue, slots, 2.0) == expected
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes: choice by host and path, and shares of services."""
+"""Tests of route matching and target selection."""
 
 import pytest
 
@@ -58,13 +58,13 @@
 def test_longest_prefix_of_the_host_wins(
     host: str, path: str, expected: str | None
 ) -> None:
-    """Guards against a route of another host or of half a path segment."""
+    """A prefix must not match another host or part of a path segment."""
     route = TABLE.match(host, path)
     assert (route and route.name) == expected
 
 
-def test_targets_get_their_shares_and_ids_stay_with_theirs() -> None:
-    """Guards against a request that changes its service on the way."""
+def test_targets_get_their_shares_and_requests_keep_their_target() -> None:
+    """The same request id must always select the same service."""
     route = make_route(s=3.0, t=1.0)
     chosen = [choose_target(route, f"id-{n}") for n in range(4000)]
     assert chosen == [choose_target(route, f"id-{n}") for n in range(4000)]
--- a/tests/core/test_upstream_health.py
+++ b/tests/core/test_upstream_health.py
@@ -1,4 +1,4 @@
-"""Health of one upstream."""
+"""Tests of the health of one upstream."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 IDLE = uh.LoadReported(running=1, waiting=0, age_seconds=0.0)
 BUSY = uh.LoadReported(running=8, waiting=8, age_seconds=0.0)
 STALE = uh.LoadReported(running=8, waiting=8, age_seconds=5.0)
-ANSWER = uh.AnswerOk(0.1)
+RESPONSE = uh.AnswerOk(0.1)
 
 
 def _history(*events: uh.HealthEvent) -> list[uh.UpstreamHealth]:
@@ -28,21 +28,23 @@
         ([IDLE, BUSY], "healthy", 8),
         ([IDLE, STALE], "healthy", 10),
         ([IDLE, uh.ConnectFailure()], "failing", 0),
-        ([uh.BrokenAnswer(), ANSWER, IDLE], "failing", 0),
+        ([uh.BrokenAnswer(), RESPONSE, IDLE], "failing", 0),
         ([uh.BrokenAnswer(), uh.ProbeSucceeded()], "healthy", 10),
         ([IDLE, uh.VmLeaving(), uh.ProbeSucceeded(), IDLE], "leaving", 0),
         ([uh.VmLeaving(), uh.VmLive()], "unknown", 10),
         ([IDLE, uh.Removed(), uh.VmLive(), IDLE], "gone", 0),
     ],
 )
-def test_new_work(events: list[uh.HealthEvent], state: str, slots: int) -> None:
-    """Guards against new work for failing, leaving and removed upstreams."""
+def test_state_and_slots(
+    events: list[uh.HealthEvent], state: str, slots: int
+) -> None:
+    """Failing, leaving and removed upstreams must get no new requests."""
     health = _history(*events)[-1]
     assert (health.state, health.slots) == (state, slots)
 
 
 def test_probe_delay_grows_to_its_limit() -> None:
-    """Guards against routers that probe a dead upstream in a tight loop."""
+    """A dead upstream must not be probed in a tight loop."""
     history = _history(uh.ConnectFailure(), *[uh.ProbeFailed()] * 9)
     delays = [(health.next_probe_at or 0.0) - 100.0 for health in history[1:]]
     for number, delay in enumerate(delays):
@@ -51,18 +53,20 @@
     assert len(set(delays)) == len(delays)
 
 
-@pytest.mark.parametrize(("answers", "delay"), [([ANSWER], 0.25), ([], 4.0)])
-def test_only_a_complete_answer_resets_the_probe_delay(
-    answers: list[uh.HealthEvent], delay: float
+@pytest.mark.parametrize(
+    ("responses", "delay"), [([RESPONSE], 0.25), ([], 4.0)]
+)
+def test_only_a_complete_response_resets_the_probe_delay(
+    responses: list[uh.HealthEvent], delay: float
 ) -> None:
-    """Guards against flapping of an upstream that answers only probes."""
+    """An upstream that responds only to probes must not flap."""
     start = [uh.ConnectFailure(), *[uh.ProbeFailed()] * 3, uh.ProbeSucceeded()]
-    last = _history(*start, *answers, uh.BrokenAnswer())[-1]
+    last = _history(*start, *responses, uh.BrokenAnswer())[-1]
     assert last.probe_delay_seconds == delay
 
 
 def test_limit_is_frozen_without_reports() -> None:
-    """Guards against a limit that follows numbers from the past."""
+    """Stale load reports must not change the limit."""
     *_, busy, stopped, stale = _history(BUSY, uh.ReportsStopped(), STALE)
     overdue = [uh.are_reports_overdue(busy, now) for now in (104.9, 105.0)]
     assert overdue == [False, True]
