--- a/packages/core/src/lacewingspar_core/dispatch.py
+++ b/packages/core/src/lacewingspar_core/dispatch.py
@@ -52,7 +52,7 @@
 class _Takeover:
     """Pending slot reports after this router became the owner of upstreams."""
 
-    until: float
+    wait_until: float
     awaited_routers: set[RouterLife] = field(default_factory=set)
 
 
@@ -325,9 +325,10 @@
             return
         pending = allocation.pending_seconds
         reported_at = allocation.lease_until - SLOT_LEASE_SECONDS
-        until = min(now, reported_at + CHARGE_AFTER_REPORT_SECONDS)
+        charge_until = min(now, reported_at + CHARGE_AFTER_REPORT_SECONDS)
         accrued = max(
-            0.0, until - allocation.started_at - allocation.charged_seconds
+            0.0,
+            charge_until - allocation.started_at - allocation.charged_seconds,
         )
         allocation.charged_seconds += accrued
         self.ledger.charge(
@@ -372,7 +373,7 @@
         takeover = self._takeover
         if takeover is None:
             return False
-        if takeover.awaited_routers and now < takeover.until:
+        if takeover.awaited_routers and now < takeover.wait_until:
             return True
         self._takeover = None
         return False
--- a/packages/core/src/lacewingspar_core/upstream_health.py
+++ b/packages/core/src/lacewingspar_core/upstream_health.py
@@ -108,14 +108,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeSucceeded:
-    """The upstream answered a probe."""
+    """The upstream responded to a probe."""
 
     NAME: ClassVar[str] = "probe_succeeded"
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeFailed:
-    """The upstream did not answer a probe."""
+    """The upstream did not respond to a probe."""
 
     NAME: ClassVar[str] = "probe_failed"
 
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -187,12 +187,12 @@
     assert grants["ahead"] >= sum(grants.values()) // 16 - 1
 
 
-@pytest.mark.parametrize("answer", ["declined", "no reply", "unreachable"])
-def test_unaccepted_offer_frees_the_slot(answer: str) -> None:
+@pytest.mark.parametrize("reply", ["declined", "no reply", "unreachable"])
+def test_unaccepted_offer_frees_the_slot(reply: str) -> None:
     """A slot must not stay idle for an offer that nobody will accept."""
     owner = make_owner()
     (offer,) = offers(receive(owner, demand(1, {"w1": 1}), 0.0))
-    match answer:
+    match reply:
         case "declined":
             message = OfferDeclined("chat", offer.slot, "w1", "")
             receive(owner, message, 0.1)
