--- a/packages/core/src/lacewingspar_core/chart.py
+++ b/packages/core/src/lacewingspar_core/chart.py
@@ -1,4 +1,4 @@
-"""Interpreter of state charts that are kept in JSON files."""
+"""Loads and interprets state charts that are stored as JSON files."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class UnmatchedEvent(StrEnum):
-    """What an event without a transition from the current state means."""
+    """How a chart treats an event that has no transition."""
 
     ERROR = "error"
     IGNORE = "ignore"
@@ -33,15 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Chart:
-    """A checked state chart.
+    """A validated state chart.
 
     Attributes:
         name: Name for error messages.
         initial: State of a new instance.
-        final: States that no event leaves.
+        final: States without outgoing transitions.
         states: All states.
-        events: All events that some transition names.
-        unmatched_event: Meaning of an event without a transition.
+        events: All events that occur in a transition.
+        unmatched_event: Treatment of an event without a transition.
         target_by_state_event: Next state by (state, event).
     """
 
@@ -57,8 +57,9 @@
         """Return the state that follows an event.
 
         Raises:
-            ChartEventError: The chart does not know the event, or has no
-                transition for it here and does not ignore such events.
+            ChartEventError: The state or the event is unknown, or the state has
+                no transition for the event and the chart does not ignore such
+                events.
         """
         target = self.target_by_state_event.get((state, event))
         if target is not None:
@@ -79,7 +80,7 @@
 
 
 def load_chart(name: str) -> Chart:
-    """Load a chart of this package, such as `request`.
+    """Load a chart that ships with this package, such as `request`.
 
     Raises:
         ChartError: The file is missing or inconsistent.
@@ -93,7 +94,7 @@
 
 
 def parse_chart(name: str, data: bytes) -> Chart:
-    """Parse and check a chart.
+    """Parse and validate a chart.
 
     Raises:
         ChartError: The chart is inconsistent; the message lists all problems.
@@ -102,7 +103,7 @@
         file = msgspec.json.decode(data, type=_ChartFile)
     except msgspec.MsgspecError as error:
         raise ChartError(f"chart {name}: {error}") from error
-    problems = [*_name_problems(file), *_path_problems(file)]
+    problems = [*_name_problems(file), *_reachability_problems(file)]
     if problems:
         raise ChartError(f"chart {name}: {'; '.join(problems)}")
     return Chart(
@@ -121,49 +122,51 @@
 
 
 def _name_problems(file: _ChartFile) -> Iterable[str]:
-    """Yield unknown states and repeated states or transitions."""
-    known = set(file.states)
-    used = {file.initial, *file.final}
+    """Yield unknown or duplicate states and duplicate transitions."""
+    declared = set(file.states)
+    referenced = {file.initial, *file.final}
     seen: set[tuple[str, str]] = set()
     for item in file.transitions:
-        used.update(item.sources, [item.target])
+        referenced.update(item.sources, [item.target])
         for source in item.sources:
             if (source, item.event) in seen:
                 yield f"two transitions for {item.event!r} in {source!r}"
             seen.add((source, item.event))
             if source in file.final:
                 yield f"event {item.event!r} leaves the final state {source!r}"
-    for state in sorted(used - known):
+    for state in sorted(referenced - declared):
         yield f"unknown state {state!r}"
-    if len(known) != len(file.states):
+    if len(declared) != len(file.states):
         yield "a state is listed twice"
 
 
-def _path_problems(file: _ChartFile) -> Iterable[str]:
+def _reachability_problems(file: _ChartFile) -> Iterable[str]:
     """Yield states that cannot be reached or that reach no final state."""
     edges = {
         (source, item.target)
         for item in file.transitions
         for source in item.sources
     }
-    reached = _closure({file.initial}, edges)
-    ending = _closure(
+    reached = _reachable_states({file.initial}, edges)
+    leads_to_final = _reachable_states(
         file.final, {(target, source) for source, target in edges}
     )
     for state in file.states:
         if state not in reached:
             yield f"state {state!r} cannot be reached"
-        if state not in ending:
+        if state not in leads_to_final:
             yield f"state {state!r} reaches no final state"
 
 
-def _closure(start: Iterable[str], edges: set[tuple[str, str]]) -> set[str]:
-    """Return all states that the edges connect with the start states."""
+def _reachable_states(
+    start: Iterable[str], edges: set[tuple[str, str]]
+) -> set[str]:
+    """Return the start states and all states reachable from them."""
     reached: set[str] = set()
-    waiting = list(start)
-    while waiting:
-        state = waiting.pop()
+    pending = list(start)
+    while pending:
+        state = pending.pop()
         if state not in reached:
             reached.add(state)
-            waiting.extend(to for source, to in edges if source == state)
+            pending.extend(to for source, to in edges if source == state)
     return reached
--- a/packages/core/src/lacewingspar_core/claims.py
+++ b/packages/core/src/lacewingspar_core/claims.py
@@ -1,9 +1,10 @@
-"""Transition rule for all readers of the claim stream.
+"""Rules by which every reader evaluates the claim stream.
 
-A claim wins if no unreleased claim of its key precedes it within the
-deduplication window, whether or not that one has won. The result depends on
-records of one window only, so a reader that started later, and has never seen
-older records, comes to the same result. A router releases its lost claims.
+A claim wins if no unreleased claim with the same key precedes it within the
+deduplication window, whether or not the earlier claim has won. The result
+depends only on the records of one window, so a reader that starts late and has
+never read older records reaches the same result. A router releases the claims
+that it has lost.
 """
 
 import hashlib
@@ -15,28 +16,31 @@
 from lacewingspar_core.errors import RecordGapError
 from lacewingspar_core.identity import RouterLife
 
-# A router that was frozen for longer must not act on its claim, because the
-# key may have been claimed again after the deduplication window.
+# A router that was frozen for longer must not send the claimed call, because
+# another router may have claimed the key again after the deduplication window.
 SEND_LIMIT_SECONDS = 10.0
-# The other half of the retention covers the time to read the stream.
+# Deduplication window as a fraction of the stream's retention. The other half
+# is the time that a reader has for reading the stream.
 WINDOW_FRACTION = 0.5
-# Larger answers are only recorded as having run.
+# Larger bodies are not recorded; a repeated call is then only told that the
+# call has run.
 OUTCOME_BODY_BYTES = 8 * 1024
-# Bodies kept in memory, a quarter of a router's memory limit. Beyond it the
-# oldest ones are dropped, and their answers are "has run".
-OUTCOME_BODIES_BYTES = 64 * 1024 * 1024
+# Total size of the bodies kept in memory, a quarter of a router's memory limit.
+# Beyond it the oldest bodies are dropped, and repeated calls are only told that
+# the call has run.
+MAX_TOTAL_OUTCOME_BODY_BYTES = 64 * 1024 * 1024
 
 _KEY_BYTES = 16
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
-    """Asks for the right to send one call.
+    """Record that requests the right to send one call.
 
     Attributes:
         key: Result of `claim_key`.
         digest: Digest of the call.
-        life: Router life that appends the claim.
-        sequence: Number of the claim within that life.
+        life: Router instance that appends the claim.
+        sequence: Number of the claim within that instance.
     """
 
     key: bytes
@@ -46,19 +50,23 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag="release"):
-    """The claim's router has not sent the call and never will."""
+    """Record that gives up a claim whose call was not sent and never will be.
+
+    Attributes:
+        claim_offset: Offset of the claim.
+    """
 
     claim_offset: int
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True, tag="outcome"):
-    """The first answer of a claimed call.
+    """Record of the first response to a claimed call.
 
     Attributes:
         claim_offset: Offset of the claim.
         status: HTTP status code.
         content_type: Content type of the body.
-        body: Body, or None if it is too large to keep.
+        body: Response body, or None if it is too large to keep.
     """
 
     claim_offset: int
@@ -76,12 +84,12 @@
 
 
 def encode_record(record: ClaimRecord) -> bytes:
-    """Return the MessagePack form of a record."""
+    """Encode a record as MessagePack."""
     return _ENCODER.encode(record)
 
 
 def decode_record(data: bytes) -> ClaimRecord | None:
-    """Return the record that the bytes hold, or None if unreadable."""
+    """Decode a record, or return None if the bytes are not a valid record."""
     try:
         return _DECODER.decode(data)
     except msgspec.MsgspecError:
@@ -89,13 +97,13 @@
 
 
 def claim_key(service: str, workspace: str, key: str) -> bytes:
-    """Return the key of a claim, of fixed size whatever the caller sends."""
+    """Return a caller's key, scoped to the workspace, as a fixed-size hash."""
     text = "\0".join((service, workspace, key))
     return hashlib.sha256(text.encode()).digest()[:_KEY_BYTES]
 
 
 def key_time_ms(key: str) -> int | None:
-    """Return the time in a key that is a UUID of version 7, or None.
+    """Return the timestamp of a UUIDv7 key, or None for any other key.
 
     Returns:
         Milliseconds since the Unix epoch.
@@ -108,10 +116,11 @@
 
 
 def is_time_expired(key_time: int | None, now_ms: int, window_ms: int) -> bool:
-    """Return whether a key's own time is before the deduplication window.
+    """Return whether a key's timestamp precedes the deduplication window.
 
     Args:
-        key_time: Result of `key_time_ms`; a key without time never expires.
+        key_time: Result of `key_time_ms`; a key without a timestamp never
+            expires.
         now_ms: Time in milliseconds since the Unix epoch.
         window_ms: Deduplication window in milliseconds.
     """
@@ -127,7 +136,7 @@
         time_ms: Log time of the claim, in milliseconds since the Unix epoch.
         claim: The record.
         has_won: Whether the claim's router may send the call.
-        outcome: First answer, if known.
+        outcome: First response, if known.
     """
 
     offset: int
@@ -138,14 +147,15 @@
 
 
 class ClaimState:
-    """Claims of the deduplication window, after all records below an offset.
+    """Claims within the deduplication window, built from the claim stream.
 
     Attributes:
         window_ms: Deduplication window in milliseconds.
-        next_offset: First offset that is not included.
-        newest_ms: Latest log time so far. It never goes back, although the
-            clock of the log service may.
-        body_bytes: Size of the bodies that are kept.
+        next_offset: Offset of the next record to apply.
+        newest_ms: Latest log time so far, in milliseconds since the Unix epoch.
+            It never decreases, although the clock of the log service may go
+            back.
+        body_bytes: Total size of the bodies kept in memory, in bytes.
     """
 
     def __init__(self, window_ms: int) -> None:
@@ -153,23 +163,28 @@
         self.next_offset = 0
         self.newest_ms = 0
         self.body_bytes = 0
-        # Both in order of offsets, which is also the order of log times.
+        # Both are ordered by offset, which is also the order of log times.
         self._entry_by_offset: dict[int, ClaimEntry] = {}
         self._entries_by_key: dict[bytes, tuple[ClaimEntry, ...]] = {}
-        # Offsets of the claims with kept bodies, in order of their outcomes.
+        # Offsets of the claims with a body in memory, in the order of their
+        # outcomes.
         self._offsets_with_body: dict[int, None] = {}
-        # Decoding makes an object per record; lives are few.
-        self._life_by_life: dict[RouterLife, RouterLife] = {}
+        # Decoding creates an object per record; equal instances share one
+        # object to save memory.
+        self._shared_instance_by_value: dict[RouterLife, RouterLife] = {}
 
     def __len__(self) -> int:
         return len(self._entry_by_offset)
 
     def entry_at(self, offset: int) -> ClaimEntry | None:
-        """Return the unreleased claim at an offset."""
+        """Return the unreleased claim at an offset, or None."""
         return self._entry_by_offset.get(offset)
 
     def entry_of(self, key: bytes) -> ClaimEntry | None:
-        """Return the claim that answers further attempts of a key."""
+        """Return the claim that answers repeated calls of a key, or None.
+
+        It is the claim with an outcome, or else the oldest one.
+        """
         entries = self._entries_by_key.get(key, ())
         for entry in entries:
             if entry.outcome is not None:
@@ -177,15 +192,16 @@
         return entries[0] if entries else None
 
     def skip_to(self, first_retained: int) -> None:
-        """Skip records that the log service has dropped.
+        """Skip the records that the log service no longer retains.
 
-        They are older than the window, so the result stays the same.
+        They are older than the window, so skipping them does not change the
+        result.
         """
         self.next_offset = max(self.next_offset, first_retained)
 
     def add(self, offset: int, claim: Claim) -> None:
-        """Add a claim, which wins if no other one of its key is left."""
-        life = self._life_by_life.setdefault(claim.life, claim.life)
+        """Add a claim; it wins if no unreleased claim of its key is left."""
+        life = self._shared_instance_by_value.setdefault(claim.life, claim.life)
         claim = Claim(claim.key, claim.digest, life, claim.sequence)
         others = self._entries_by_key.get(claim.key, ())
         entry = ClaimEntry(offset, self.newest_ms, claim, has_won=not others)
@@ -204,7 +220,7 @@
             del self._entries_by_key[key]
 
     def set_outcome(self, entry: ClaimEntry, outcome: Outcome) -> None:
-        """Keep the first answer of a claim, without a body if it is large."""
+        """Store the first response to a claim, without an oversized body."""
         entry.outcome = outcome
         if outcome.body is None:
             return
@@ -212,12 +228,12 @@
         self.body_bytes += len(outcome.body)
         if len(outcome.body) > OUTCOME_BODY_BYTES:
             self._drop_body(entry)
-        while self.body_bytes > OUTCOME_BODIES_BYTES:
+        while self.body_bytes > MAX_TOTAL_OUTCOME_BODY_BYTES:
             oldest = next(iter(self._offsets_with_body))
             self._drop_body(self._entry_by_offset[oldest])
 
     def expire(self) -> None:
-        """Remove the claims that are older than the window."""
+        """Remove the claims that are older than the deduplication window."""
         limit = self.newest_ms - self.window_ms
         expired = []
         for entry in self._entry_by_offset.values():
@@ -227,7 +243,7 @@
         for entry in expired:
             self.remove(entry)
         if not self._entry_by_offset:
-            self._life_by_life.clear()
+            self._shared_instance_by_value.clear()
 
     def _drop_body(self, entry: ClaimEntry) -> None:
         outcome = entry.outcome
@@ -241,26 +257,26 @@
 def apply_claim_record(
     state: ClaimState, offset: int, time_ms: int, record: ClaimRecord | None
 ) -> ClaimState:
-    """Include one more record in a state and return it.
+    """Apply the next record to a state and return the state.
 
-    The state is changed in place, since it may hold very many claims.
+    The state is changed in place, because it may hold too many claims to copy.
 
     Args:
         state: State of the reader.
-        offset: Offset of the record; a record that the state includes already
-            changes nothing.
+        offset: Offset of the record; a record that was already applied is
+            ignored.
         time_ms: Time at which the log service stored the record, in
             milliseconds since the Unix epoch.
         record: The record, or None if it is unreadable.
 
     Raises:
-        RecordGapError: Records between state and offset are missing.
+        RecordGapError: Records between the state and the offset are missing.
     """
     if offset < state.next_offset:
         return state
     if offset > state.next_offset:
         raise RecordGapError(
-            f"record {offset} does not follow {state.next_offset - 1}"
+            f"record {offset} does not follow record {state.next_offset - 1}"
         )
     state.next_offset = offset + 1
     state.newest_ms = max(state.newest_ms, time_ms)
@@ -283,13 +299,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnClaim:
-    """A claim that this router life has read back.
+    """A claim of this router that it has read back from the claim stream.
 
     Attributes:
-        life: This router life.
+        life: This router instance.
         offset: Offset of the claim.
-        appended_at: Time before the append on this router's boot-time clock,
-            in seconds.
+        appended_at: Time before the append on this router's boot-time clock, in
+            seconds.
         key_time_ms: Result of `key_time_ms` for the caller's key.
     """
 
@@ -300,13 +316,13 @@
 
 
 def may_send(state: ClaimState, claim: OwnClaim, now: float) -> bool:
-    """Return whether a claim's router may send the call now.
+    """Return whether the router may send the call of its claim now.
 
-    The router asks once for each claim, immediately before sending.
+    The router checks this once per claim, immediately before sending.
 
     Args:
         state: State that includes the claim.
-        claim: Claim of this router life.
+        claim: Claim of this router.
         now: Time on this router's boot-time clock, in seconds.
     """
     entry = state.entry_at(claim.offset)
--- a/packages/core/src/lacewingspar_core/configlog.py
+++ b/packages/core/src/lacewingspar_core/configlog.py
@@ -1,4 +1,4 @@
-"""Transition rule for all readers of the configuration stream."""
+"""Rules by which every reader evaluates the configuration stream."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
@@ -12,32 +12,33 @@
 from lacewingspar_core.errors import RecordGapError
 from lacewingspar_core.mergepatch import apply_patch
 
-# Edit ids only turn the answer to a repeated edit from "conflict" into
-# "accepted": a repeat is never applied, because its base version is past.
-# At 2,600 edits a day this number covers nine hours.
-ACCEPTED_EDITS_KEPT = 1024
-# The newest snapshot is replaced at this part of the retention, which leaves
-# twice that time for outages of the log service.
+# Accepted edit ids are kept so that the author of a repeated edit gets
+# "accepted" instead of "conflict". A repeat is never applied, because its base
+# version is outdated. At 2,600 edits a day this number covers nine hours.
+MAX_ACCEPTED_EDITS = 1024
+# Age of the newest snapshot at which a new one is written, as a fraction of the
+# retention. The remaining two thirds are left for outages of the log service.
 SNAPSHOT_AGE_FRACTION = 1 / 3
-# A peer without configuration gets all records since the newest snapshot, so
-# a snapshot is also due when they exceed this size.
+# A peer without configuration receives all records since the newest snapshot,
+# so a snapshot is also written when they exceed this size.
 SNAPSHOT_AFTER_BYTES = 8 * 1024 * 1024
-# Longer than append and read take together, so that routers of higher rank
-# see the snapshot before their own turn.
+# Delay per rank, so that one router writes the snapshot. It is longer than an
+# append and a read together, so the next rank sees the snapshot first.
 SNAPSHOT_RANK_DELAY_SECONDS = 5.0
-# The same for the rule on size, as a part of the size.
-SNAPSHOT_RANK_BYTES_STEP = 0.25
+# Extra size per rank, as a fraction of `SNAPSHOT_AFTER_BYTES`.
+SNAPSHOT_RANK_BYTES_FRACTION = 0.25
 
 
 class Edit(msgspec.Struct, frozen=True, array_like=True, tag="edit"):
-    """A change of one service document.
+    """A change to one service document.
 
     Attributes:
-        edit_id: Identity of the edit.
+        edit_id: Unique id of the edit.
         service: Name of the service.
-        base_version: Version that the patch applies to, 0 for no document.
+        base_version: Version to which the patch applies, or 0 if the service
+            has no document.
         patch: JSON merge patch.
-        author: Who made the edit.
+        author: Author of the edit.
     """
 
     edit_id: str
@@ -48,7 +49,7 @@
 
 
 class AcceptedEdit(msgspec.Struct, frozen=True, array_like=True):
-    """An edit that was accepted, and the version that it made."""
+    """An accepted edit and the version that it created."""
 
     edit_id: str
     service: str
@@ -61,8 +62,8 @@
 
     Attributes:
         version: Version of the document.
-        edit_id: Edit that made this version.
-        author: Who made that edit.
+        edit_id: Id of the edit that created this version.
+        author: Author of that edit.
         document: The document as JSON values.
     """
 
@@ -73,12 +74,12 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag="snapshot"):
-    """The state after all records up to and including one offset.
+    """State after all records up to and including one offset.
 
     Attributes:
         as_of: Offset of the last record that the state includes.
-        service_by_name: The services.
-        accepted: The accepted edits that are kept, oldest first.
+        service_by_name: Services by name.
+        accepted: Most recently accepted edits, oldest first.
     """
 
     as_of: int
@@ -95,12 +96,12 @@
 
 
 def encode_record(record: ConfigRecord) -> bytes:
-    """Return the MessagePack form of a record."""
+    """Encode a record as MessagePack."""
     return _ENCODER.encode(record)
 
 
 def decode_record(data: bytes) -> ConfigRecord | None:
-    """Return the record that the bytes hold, or None if unreadable."""
+    """Decode a record, or return None if the bytes are not a valid record."""
     try:
         return _DECODER.decode(data)
     except msgspec.MsgspecError:
@@ -109,12 +110,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """Configuration of one service in force.
+    """Active configuration of one service.
 
     Attributes:
-        version: Offset of the edit that made it, plus one.
-        edit_id: That edit.
-        author: Who made that edit.
+        version: Offset of the edit that created it, plus one.
+        edit_id: Id of that edit.
+        author: Author of that edit.
         value: The document as JSON values.
         document: The parsed document.
     """
@@ -128,12 +129,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigState:
-    """Configuration after all records below an offset.
+    """Configuration built from all records below an offset.
 
     Attributes:
-        next_offset: First offset that is not included.
-        service_by_name: Services with a document.
-        accepted_by_edit_id: Accepted edits that are kept, oldest first.
+        next_offset: Offset of the next record to apply.
+        service_by_name: Services that have a document.
+        accepted_by_edit_id: Most recently accepted edits, oldest first.
     """
 
     next_offset: int = 0
@@ -145,7 +146,7 @@
     )
 
     def version_of(self, service: str) -> int:
-        """Return the version in force, 0 for no document."""
+        """Return the active version of a service, or 0 without a document."""
         config = self.service_by_name.get(service)
         return config.version if config else 0
 
@@ -153,46 +154,47 @@
 def apply_record(
     state: ConfigState, offset: int, record: ConfigRecord | None
 ) -> ConfigState:
-    """Return the state that includes one more record.
+    """Return the state after applying the next record.
 
     Args:
         state: State of the reader.
-        offset: Offset of the record; a record that the state includes already
-            changes nothing.
+        offset: Offset of the record; a record that was already applied is
+            ignored.
         record: The record, or None if it is unreadable.
 
     Raises:
-        RecordGapError: Records between state and offset are missing.
+        RecordGapError: Records between the state and the offset are missing.
     """
     if offset < state.next_offset:
         return state
     if offset > state.next_offset:
         raise RecordGapError(
-            f"record {offset} does not follow {state.next_offset - 1}"
+            f"record {offset} does not follow record {state.next_offset - 1}"
         )
     match record:
         case Edit():
             state = _apply_edit(state, offset, record)
         case Snapshot() | None:
-            # The state says the same as a snapshot already.
+            # The state already includes everything that a snapshot holds.
             pass
     return replace(state, next_offset=offset + 1)
 
 
-def start_state(
+def state_from_snapshot(
     first_available: int, offset: int, record: ConfigRecord | None
 ) -> ConfigState | None:
-    """Return the state that a reader may start from at a record.
+    """Return the state that a reader can restore from a snapshot record.
 
     Args:
-        first_available: First offset that the reader can read, which is never
-            below the first retained one.
+        first_available: First offset that the reader can read; never below the
+            first retained offset.
         offset: Offset of the record.
         record: The record, or None if it is unreadable.
 
     Returns:
-        The state, whose missing records the reader applies next, or None if
-        the record is no snapshot or records after it may be missing.
+        The state, to which the reader applies the records after `as_of`; None
+        if the record is not a valid snapshot or if records after `as_of` may be
+        missing.
     """
     if not isinstance(record, Snapshot):
         return None
@@ -200,7 +202,7 @@
         return None
     service_by_name: dict[str, ServiceConfig] = {}
     for name, item in record.service_by_name.items():
-        document = _document_of(name, item.document)
+        document = _parse_service_document(name, item.document)
         if document is None:
             return None
         service_by_name[name] = ServiceConfig(
@@ -216,7 +218,7 @@
 
 
 def make_snapshot(state: ConfigState) -> Snapshot:
-    """Return the snapshot of a state."""
+    """Create a snapshot of a state."""
     return Snapshot(
         as_of=state.next_offset - 1,
         service_by_name={
@@ -231,14 +233,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EditAccepted:
-    """The edit made a version."""
+    """The edit created a version."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class EditConflict:
-    """Another edit made a version first; this one is never accepted."""
+    """Another edit created a version first, so this edit is never accepted."""
 
     current_version: int
     other_edit_id: str
@@ -248,10 +250,10 @@
 def edit_outcome(
     state: ConfigState, edit_id: str, service: str, base_version: int
 ) -> EditAccepted | EditConflict | None:
-    """Return what became of an edit, or None if that is still open.
+    """Return the outcome of an edit, or None if it is still undecided.
 
     A conflict is final even if the edit has not been appended yet, because
-    versions only grow.
+    versions only increase.
     """
     accepted = state.accepted_by_edit_id.get(edit_id)
     if accepted is not None:
@@ -275,17 +277,19 @@
         snapshot_age_seconds: Age of the newest snapshot, or of the oldest
             record if there is none.
         retention_seconds: Time for which the log service keeps records.
-        bytes_since_snapshot: Size of the records that are kept since.
+        bytes_since_snapshot: Size of the records kept since that snapshot.
         rank: Position of this router among those that may write, from 0.
     """
-    limit_bytes = SNAPSHOT_AFTER_BYTES * (1 + rank * SNAPSHOT_RANK_BYTES_STEP)
+    limit_bytes = SNAPSHOT_AFTER_BYTES * (
+        1 + rank * SNAPSHOT_RANK_BYTES_FRACTION
+    )
     if bytes_since_snapshot > limit_bytes:
         return 0.0
-    third = retention_seconds * SNAPSHOT_AGE_FRACTION
-    # The ranks share a sixth of the retention at most, so that a router of
-    # any rank still writes in time.
-    rank_delay = min(rank * SNAPSHOT_RANK_DELAY_SECONDS, third / 2)
-    return max(0.0, third + rank_delay - snapshot_age_seconds)
+    max_age_seconds = retention_seconds * SNAPSHOT_AGE_FRACTION
+    # The delay is at most a sixth of the retention, so that a router of any
+    # rank still writes in time.
+    rank_delay = min(rank * SNAPSHOT_RANK_DELAY_SECONDS, max_age_seconds / 2)
+    return max(0.0, max_age_seconds + rank_delay - snapshot_age_seconds)
 
 
 def _apply_edit(state: ConfigState, offset: int, edit: Edit) -> ConfigState:
@@ -295,7 +299,7 @@
         return state
     current = state.service_by_name.get(edit.service)
     value = apply_patch(current.value if current else {}, edit.patch)
-    document = _document_of(edit.service, value)
+    document = _parse_service_document(edit.service, value)
     if document is None:
         return state
     version = offset + 1
@@ -304,7 +308,7 @@
     accepted[edit.edit_id] = AcceptedEdit(
         edit.edit_id, edit.service, version, edit.author
     )
-    while len(accepted) > ACCEPTED_EDITS_KEPT:
+    while len(accepted) > MAX_ACCEPTED_EDITS:
         del accepted[next(iter(accepted))]
     return replace(
         state,
@@ -315,8 +319,8 @@
     )
 
 
-def _document_of(service: str, value: Any) -> ServiceDocument | None:
-    """Return a valid document of the service, or None."""
+def _parse_service_document(service: str, value: Any) -> ServiceDocument | None:
+    """Parse a document; return None if it is invalid or of another service."""
     result = validate_document(value)
     if not is_successful(result):
         return None
--- a/packages/core/src/lacewingspar_core/configreplica.py
+++ b/packages/core/src/lacewingspar_core/configreplica.py
@@ -1,4 +1,4 @@
-"""One reader's copy of the configuration and of the records behind it."""
+"""Replica of the configuration and of the log records behind it."""
 
 from collections.abc import Sequence
 
@@ -7,23 +7,25 @@
     Snapshot,
     apply_record,
     decode_record,
-    start_state,
+    state_from_snapshot,
 )
 from lacewingspar_core.messages import LogRecord
 
-# Keeps the copy within a router's memory limit if no snapshot is written.
-RECORDS_KEPT_BYTES = 32 * 1024 * 1024
+# Bounds the memory of the replica if no snapshot is written.
+MAX_KEPT_RECORD_BYTES = 32 * 1024 * 1024
 
 
 class ConfigReplica:
     """Applies consecutive records and keeps those since the newest snapshot.
 
-    The kept records are enough for a peer without configuration to start.
+    The kept records are sufficient to initialise a peer that has no
+    configuration.
 
     Attributes:
-        state: State after all applied records, or None before the start.
+        state: State after all applied records, or None if the replica could not
+            start yet.
         snapshot_time_ms: Time of the newest usable snapshot, or of the oldest
-            kept record without one, in milliseconds since the Unix epoch.
+            kept record if there is none, in milliseconds since the Unix epoch.
         bytes_since_snapshot: Size of the records after that snapshot.
     """
 
@@ -37,19 +39,19 @@
 
     @property
     def wanted_offset(self) -> int:
-        """Return the first offset that is not known."""
+        """Return the offset of the next record to receive."""
         return self._first_offset + len(self._records)
 
     @property
     def applied_offset(self) -> int:
-        """Return the first offset that is not applied."""
+        """Return the offset of the next record to apply."""
         return self.state.next_offset if self.state else 0
 
     def add(self, first_retained: int, records: Sequence[LogRecord]) -> bool:
-        """Add consecutive records in any overlap with the known ones.
+        """Add consecutive records, which may overlap the known ones.
 
         Args:
-            first_retained: First offset that the log service still had.
+            first_retained: First offset that the log service retained.
             records: Consecutive records, from the log service or a peer.
 
         Returns:
@@ -58,12 +60,14 @@
         before = self.state
         first = records[0].offset if records else first_retained
         if first > self.wanted_offset:
-            # Only a snapshot can help over the gap. Records of a peer that
-            # lack one are dropped, since the log service may have the rest.
-            if first > first_retained and not _has_start(first, records):
+            # Only a snapshot can bridge the gap. A peer's records without
+            # one are dropped: the log service may have the missing ones.
+            if first > first_retained and not _has_usable_snapshot(
+                first, records
+            ):
                 return False
             self._restart(first)
-        elif first < self._first_offset and self._is_helped_by(first, records):
+        elif first < self._first_offset and self._closes_gap(first, records):
             self._restart(first)
         if self.state is None and self._first_offset == first == 0:
             self.state = ConfigState()
@@ -76,15 +80,15 @@
     def records_from(
         self, offset: int, limit_bytes: int
     ) -> tuple[LogRecord, ...]:
-        """Return kept records for a peer.
+        """Return kept records to send to a peer.
 
         Args:
-            offset: First offset that the peer does not know.
-            limit_bytes: Size after which no further record is included.
+            offset: First offset that the peer lacks.
+            limit_bytes: Size at which no further record is added.
 
         Returns:
-            Consecutive records from the offset on, or all kept ones whatever
-            their size if records before them are no longer kept.
+            Consecutive records from the offset on. If records at the offset are
+            no longer kept, all kept records, whatever their size.
         """
         start = offset - self._first_offset
         if start < 0:
@@ -100,21 +104,21 @@
 
     @property
     def is_stalled(self) -> bool:
-        """Return whether records are missing after the state."""
+        """Return whether records after the state are missing."""
         return self.applied_offset < self._first_offset
 
-    def _is_helped_by(self, first: int, records: Sequence[LogRecord]) -> bool:
-        """Return whether a peer's older records fill the gap or allow a start.
+    def _closes_gap(self, first: int, records: Sequence[LogRecord]) -> bool:
+        """Return whether a peer's older records close the gap or allow a start.
 
         Args:
-            first: Offset of the first of them.
+            first: Offset of the first of these records.
             records: Consecutive records.
         """
         if not self.is_stalled:
             return False
         if self.state is not None and first <= self.state.next_offset:
             return True
-        return first == 0 or _has_start(first, records)
+        return first == 0 or _has_usable_snapshot(first, records)
 
     def _restart(self, first: int) -> None:
         self._records = []
@@ -133,7 +137,7 @@
         if not isinstance(decoded, Snapshot):
             self._drop_excess()
             return
-        start = start_state(self._first_offset, record.offset, decoded)
+        start = state_from_snapshot(self._first_offset, record.offset, decoded)
         if start is None:
             return
         self.snapshot_time_ms = record.time_ms
@@ -160,14 +164,14 @@
         self._first_offset = offset
 
     def _drop_excess(self) -> None:
-        if self._kept_bytes <= RECORDS_KEPT_BYTES:
+        if self._kept_bytes <= MAX_KEPT_RECORD_BYTES:
             return
         self._apply_kept()
         self._drop_before(self._records[len(self._records) // 2].offset)
 
 
-def _has_start(first: int, records: Sequence[LogRecord]) -> bool:
+def _has_usable_snapshot(first: int, records: Sequence[LogRecord]) -> bool:
     return any(
-        start_state(first, record.offset, decode_record(record.data))
+        state_from_snapshot(first, record.offset, decode_record(record.data))
         for record in records
     )
--- a/packages/core/src/lacewingspar_core/directory.py
+++ b/packages/core/src/lacewingspar_core/directory.py
@@ -1,15 +1,15 @@
-"""Upstreams that have registered themselves, as last heard of."""
+"""Directory of the upstreams that register themselves."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import StrEnum
 
-# An upstream that lapsed while its registry was away is listed again this
-# soon after the registry returns, if it lives (interface of the registry).
+# After an outage of the registry, a live upstream whose entry expired is listed
+# again within this time, as the registry's interface guarantees.
 LAPSE_GRACE_SECONDS = 2.0
-# Late copies of the entries of upstreams that are gone are recognised for
-# this long; they are delayed by seconds at most.
-REMEMBER_GONE_SECONDS = 120.0
+# Removed upstreams are remembered for this long, to recognise late copies of
+# their entries. Copies are delayed by seconds at most.
+REMOVED_MEMORY_SECONDS = 120.0
 
 
 class UpstreamState(StrEnum):
@@ -21,18 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamEntry:
-    """What an upstream reports about itself.
+    """Report of an upstream about itself.
 
     Attributes:
-        upstream_id: Identity of the upstream.
+        upstream_id: Id of the upstream.
         service: Service that it belongs to.
         address: Its `host:port`.
         data_centre: Its data centre.
-        slots: Requests that it runs at once.
-        state: Whether it takes new work.
-        born_ms: Start of its present life, in milliseconds since the epoch.
-        sequence: Number of the report within this life.
-        cold_seconds: How much longer it stays slow after its start.
+        slots: Number of requests that it runs concurrently.
+        state: Whether it accepts new work.
+        born_ms: Start time of this upstream instance, in milliseconds since
+            the Unix epoch.
+        sequence: Number of the report of this instance.
+        cold_seconds: Remaining time for which it is slow after its start.
     """
 
     upstream_id: str
@@ -47,12 +48,12 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return the place among all reports of this upstream."""
+        """Return the sort key that orders all reports of this upstream."""
         return (self.born_ms, self.sequence)
 
 
 class ChangeKind(StrEnum):
-    """What a change of the directory means for an upstream."""
+    """Kind of a change to an upstream's directory entry."""
 
     ADDED = "added"
     RESTARTED = "restarted"
@@ -63,11 +64,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChange:
-    """A change of what is known about one upstream.
+    """A change to the directory entry of one upstream.
 
     Attributes:
-        kind: What has happened.
-        entry: The entry after the change, or the last one known.
+        kind: Kind of the change.
+        entry: Entry after the change, or the last known entry.
     """
 
     kind: ChangeKind
@@ -75,32 +76,32 @@
 
 
 @dataclass(slots=True)
-class _Gone:
-    """Last report of an upstream that is gone."""
+class _RemovedUpstream:
+    """Order of the last report of a removed upstream."""
 
     order: tuple[int, int]
-    since: float
+    removed_at: float
 
 
 class UpstreamDirectory:
     """Directory of one router, built from the records of the registry.
 
-    Records may arrive late or from an older life of an upstream; the order
-    by life and sequence decides which report is the newest.
+    Records may arrive late or come from an earlier instance of an upstream. Start
+    time and sequence number determine which report is the newest.
     """
 
     def __init__(self) -> None:
         self._entry_by_id: dict[str, UpstreamEntry] = {}
-        self._lapses_at_by_id: dict[str, float] = {}
-        self._gone_by_id: dict[str, _Gone] = {}
+        self._expires_at_by_id: dict[str, float] = {}
+        self._removed_by_id: dict[str, _RemovedUpstream] = {}
 
     @property
     def entry_by_id(self) -> Mapping[str, UpstreamEntry]:
-        """Return all upstreams that are not gone, draining ones included."""
+        """Return all upstreams except removed ones, by id."""
         return self._entry_by_id
 
     def usable(self, service: str) -> dict[str, UpstreamEntry]:
-        """Return the upstreams of a service that take new work, by id."""
+        """Return the upstreams of a service that accept new work, by id."""
         return {
             upstream_id: entry
             for upstream_id, entry in self._entry_by_id.items()
@@ -108,47 +109,48 @@
         }
 
     def apply(self, entry: UpstreamEntry) -> DirectoryChange | None:
-        """Take over a report.
+        """Apply a report.
 
         Returns:
-            The change, or None if the report says nothing new.
+            The change, or None if the report is outdated or changes nothing
+            relevant.
         """
         upstream_id = entry.upstream_id
-        gone = self._gone_by_id.get(upstream_id)
-        if gone is not None and entry.order <= gone.order:
+        removed = self._removed_by_id.get(upstream_id)
+        if removed is not None and entry.order <= removed.order:
             return None
         known = self._entry_by_id.get(upstream_id)
         if known is not None and entry.order <= known.order:
             return None
-        self._gone_by_id.pop(upstream_id, None)
-        was_lapsed = self._lapses_at_by_id.pop(upstream_id, None) is not None
+        self._removed_by_id.pop(upstream_id, None)
+        had_expired = self._expires_at_by_id.pop(upstream_id, None) is not None
         self._entry_by_id[upstream_id] = entry
         if known is None:
             return DirectoryChange(ChangeKind.ADDED, entry)
         if entry.born_ms != known.born_ms:
             return DirectoryChange(ChangeKind.RESTARTED, entry)
-        if was_lapsed or _content(entry) != _content(known):
+        if had_expired or _relevant_fields(entry) != _relevant_fields(known):
             return DirectoryChange(ChangeKind.CHANGED, entry)
         return None
 
     def remove(
         self, upstream_id: str, now: float, *, may_have_lapsed: bool
     ) -> DirectoryChange | None:
-        """Take over that an upstream is no longer listed.
+        """Remove an upstream that is no longer listed, or let it expire later.
 
         Args:
-            upstream_id: Identity of the upstream.
+            upstream_id: Id of the upstream.
             now: Time in seconds.
-            may_have_lapsed: Whether the registry was disturbed, so that an
-                upstream which lives may be listed again soon.
+            may_have_lapsed: Whether the registry was disrupted, so that a live
+                upstream may be listed again soon.
         """
         entry = self._entry_by_id.get(upstream_id)
         if entry is None:
             return None
         if may_have_lapsed and entry.state is UpstreamState.READY:
-            if upstream_id in self._lapses_at_by_id:
+            if upstream_id in self._expires_at_by_id:
                 return None
-            self._lapses_at_by_id[upstream_id] = now + LAPSE_GRACE_SECONDS
+            self._expires_at_by_id[upstream_id] = now + LAPSE_GRACE_SECONDS
             return DirectoryChange(ChangeKind.LAPSED, entry)
         return self._drop(entry, now)
 
@@ -159,7 +161,7 @@
         *,
         may_have_lapsed: bool,
     ) -> list[DirectoryChange]:
-        """Take over a whole listing."""
+        """Apply a complete listing and return the changes."""
         missing = self._entry_by_id.keys() - entries.keys()
         changes = [self.apply(entry) for entry in entries.values()]
         changes += [
@@ -169,15 +171,15 @@
         return [change for change in changes if change is not None]
 
     def expire(self, now: float) -> list[DirectoryChange]:
-        """Drop the upstreams that lapsed and were not listed again."""
+        """Remove the expired upstreams that were not listed again in time."""
         due = [
             upstream_id
-            for upstream_id, at in self._lapses_at_by_id.items()
-            if at <= now
+            for upstream_id, expires_at in self._expires_at_by_id.items()
+            if expires_at <= now
         ]
-        for upstream_id, gone in list(self._gone_by_id.items()):
-            if now - gone.since > REMEMBER_GONE_SECONDS:
-                del self._gone_by_id[upstream_id]
+        for upstream_id, removed in list(self._removed_by_id.items()):
+            if now - removed.removed_at > REMOVED_MEMORY_SECONDS:
+                del self._removed_by_id[upstream_id]
         return [
             self._drop(self._entry_by_id[upstream_id], now)
             for upstream_id in due
@@ -185,13 +187,15 @@
 
     def _drop(self, entry: UpstreamEntry, now: float) -> DirectoryChange:
         del self._entry_by_id[entry.upstream_id]
-        self._lapses_at_by_id.pop(entry.upstream_id, None)
-        self._gone_by_id[entry.upstream_id] = _Gone(entry.order, now)
+        self._expires_at_by_id.pop(entry.upstream_id, None)
+        self._removed_by_id[entry.upstream_id] = _RemovedUpstream(
+            entry.order, now
+        )
         return DirectoryChange(ChangeKind.REMOVED, entry)
 
 
-def _content(entry: UpstreamEntry) -> tuple[object, ...]:
-    """Return what matters to the use of an upstream."""
+def _relevant_fields(entry: UpstreamEntry) -> tuple[object, ...]:
+    """Return the fields whose change affects the use of an upstream."""
     return (
         entry.service,
         entry.address,
--- a/packages/core/src/lacewingspar_core/document_checks.py
+++ b/packages/core/src/lacewingspar_core/document_checks.py
@@ -8,11 +8,12 @@
 from lacewingspar_core.document_problems import (
     DocumentProblem,
     Location,
-    path_text,
+    format_path,
     problem_at,
 )
 
-# Fields whose values may occur once in their list, and what is allowed.
+# Section, field whose values must be unique in it, and the allowed values as
+# shown to operators.
 _UNIQUE_FIELDS = (
     ("upstreams", "id", "an id that no other upstream of the service has"),
     # Two upstreams with one address would double the slots of one server.
@@ -25,8 +26,8 @@
 def check_document(value: Any) -> tuple[DocumentProblem, ...]:
     """Return the problems between the fields of a decoded document.
 
-    The checks read the decoded value and skip whatever has the wrong shape,
-    so that these problems are listed together with those of single fields.
+    The checks skip values of the wrong type, so that these problems are
+    reported together with those of single fields.
     """
     if not isinstance(value, Mapping):
         return ()
@@ -36,7 +37,7 @@
 def _duplicate_fields(
     document: Mapping[str, Any],
 ) -> Iterator[DocumentProblem]:
-    """Find names and addresses that are used twice."""
+    """Find ids, names and addresses that are used more than once."""
     for section, field, allowed in _UNIQUE_FIELDS:
         entries = (
             ((section, index, field), item.get(field))
@@ -46,7 +47,10 @@
 
 
 def _shared_tokens(document: Mapping[str, Any]) -> Iterator[DocumentProblem]:
-    """Find token hashes that would identify two workspaces."""
+    """Find token hashes that are used more than once.
+
+    Each token must identify a single workspace.
+    """
     entries = (
         (("workspaces", index, "token_sha256", position), token)
         for index, workspace in _objects(document, "workspaces")
@@ -55,8 +59,10 @@
     yield from _duplicates(entries, "a token hash that is not used elsewhere")
 
 
-def _models_by_kind(document: Mapping[str, Any]) -> Iterator[DocumentProblem]:
-    """Find upstreams whose models do not suit the kind of the service."""
+def _mismatched_models(
+    document: Mapping[str, Any],
+) -> Iterator[DocumentProblem]:
+    """Find upstreams whose models do not match the kind of the service."""
     kind = document.get("kind")
     for index, upstream in _objects(document, "upstreams"):
         models = upstream.get("models", [])
@@ -72,7 +78,7 @@
 
 
 def _repeated_models(document: Mapping[str, Any]) -> Iterator[DocumentProblem]:
-    """Find models that one upstream lists twice."""
+    """Find models that an upstream lists more than once."""
     for index, upstream in _objects(document, "upstreams"):
         entries = (
             (("upstreams", index, "models", position), model)
@@ -82,7 +88,7 @@
 
 
 def _repeated_routes(document: Mapping[str, Any]) -> Iterator[DocumentProblem]:
-    """Find declarations of non-idempotent calls that are given twice."""
+    """Find non-idempotent routes that are declared more than once."""
     entries = (
         (
             ("non_idempotent", index),
@@ -98,7 +104,7 @@
 ] = (
     _duplicate_fields,
     _shared_tokens,
-    _models_by_kind,
+    _mismatched_models,
     _repeated_models,
     _repeated_routes,
 )
@@ -107,15 +113,15 @@
 def _duplicates(
     entries: Iterable[tuple[Location, Any]], allowed: str
 ) -> Iterator[DocumentProblem]:
-    """Report each text that appeared before, with its first place."""
+    """Yield a problem for each repeated string, with its first location."""
     first_by_value: dict[str, Location] = {}
     for location, value in entries:
         if not isinstance(value, str):
             continue
         first = first_by_value.setdefault(value, location)
         if first != location:
-            place = path_text(first)
-            reason = f"{allowed}; it is already at {place}"
+            first_path = format_path(first)
+            reason = f"{allowed}; it is already at {first_path}"
             yield problem_at(location, value, reason)
 
 
--- a/packages/core/src/lacewingspar_core/document_problems.py
+++ b/packages/core/src/lacewingspar_core/document_problems.py
@@ -1,4 +1,4 @@
-"""Problems of service documents, as they are shown to operators."""
+"""Problems of service documents, as shown to operators."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from typing import Any
 
 _SHOWN_VALUE_CHARACTERS = 80
-# Enough to find a hash again, too little to reveal a token that an operator
-# put in the place of its hash.
+# Enough to recognise a hash, too little to reveal a token that an operator
+# entered instead of its hash.
 _SHOWN_SECRET_CHARACTERS = 8
 _SECRET_FIELDS = frozenset({"token_sha256"})
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentProblem:
-    """One reason why a document is refused.
+    """A reason why a document is rejected.
 
     Attributes:
-        path: Place in the document, such as `upstreams[0].slots`.
+        path: Location in the document, such as `upstreams[0].slots`.
         value: The value found there, shortened.
-        allowed: What would be allowed.
+        allowed: Description of the allowed values.
     """
 
     path: str
@@ -32,8 +32,8 @@
 Location = Sequence[str | int]
 
 
-def path_text(location: Location) -> str:
-    """Return a place in a document as text, such as `upstreams[0].slots`."""
+def format_path(location: Location) -> str:
+    """Return a location as text, such as `upstreams[0].slots`."""
     path = ""
     for part in location:
         if isinstance(part, int):
@@ -44,22 +44,22 @@
 
 
 def problem_at(location: Location, value: Any, allowed: str) -> DocumentProblem:
-    """Return the problem of a value at a place in a document."""
+    """Create the problem of a value at a location in a document."""
     is_secret = not _SECRET_FIELDS.isdisjoint(location)
     return DocumentProblem(
-        path_text(location), _shown(value, is_secret), allowed
+        format_path(location), _format_value(value, is_secret), allowed
     )
 
 
-def problem_of_error(
+def problem_from_pydantic_error(
     error: Mapping[str, Any], fields_by_section: Mapping[str, Sequence[str]]
 ) -> DocumentProblem:
-    """Return the problem that one pydantic error describes.
+    """Convert a pydantic error to a problem.
 
     Args:
         error: An item of `ValidationError.errors()`.
-        fields_by_section: Field names of the objects in each top-level field,
-            and those of the document itself under the empty name.
+        fields_by_section: Field names of the objects in each top-level field;
+            the empty key holds those of the document itself.
     """
     location: Location = error["loc"]
     section = str(location[0]) if len(location) > 1 else ""
@@ -67,7 +67,7 @@
     match error["type"]:
         case "missing":
             return DocumentProblem(
-                path_text(location), "", "a value is required"
+                format_path(location), "", "a value is required"
             )
         case "unexpected_keyword_argument":
             names = ", ".join(fields_by_section.get(section, ()))
@@ -81,7 +81,7 @@
     return problem_at(location, error["input"], allowed)
 
 
-def _shown(value: Any, is_secret: bool) -> str:
+def _format_value(value: Any, is_secret: bool) -> str:
     limit = _SHOWN_SECRET_CHARACTERS if is_secret else _SHOWN_VALUE_CHARACTERS
     text = (
         value
--- a/packages/core/src/lacewingspar_core/documents.py
+++ b/packages/core/src/lacewingspar_core/documents.py
@@ -1,4 +1,4 @@
-"""Service documents: the only means by which operators steer a service."""
+"""Schema of service documents, which are the only way to configure services."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lacewingspar_core.document_checks import check_document
 from lacewingspar_core.document_problems import (
     DocumentProblem,
-    problem_of_error,
+    problem_from_pydantic_error,
 )
 
 __all__ = [
@@ -38,7 +38,7 @@
 Sha256Hex = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
 ModelName = Annotated[str, Field(pattern=r"^\S+$", max_length=256)]
-# Numbers written as text or as true and false are mistakes, not numbers.
+# Strict numbers reject strings and booleans, which are mistakes here.
 Integer = Annotated[int, Field(strict=True)]
 Number = Annotated[float, Field(strict=True)]
 
@@ -58,9 +58,9 @@
 
     Attributes:
         id: Name, unique within the service.
-        data_centre: Data centre that holds the upstream.
+        data_centre: Data centre of the upstream.
         address: Base URL.
-        slots: Largest number of requests that run at once.
+        slots: Maximum number of concurrent requests.
         models: Models that the upstream serves; empty for plain services.
         vm: Name of the upstream's VM in the platform's VM list, if any.
     """
@@ -81,7 +81,7 @@
         name: Name of the workspace.
         token_sha256: SHA-256 hashes of its bearer tokens, in hexadecimal.
         weight: Its share relative to the other workspaces.
-        queue_limit: Largest number of requests that wait at one router.
+        queue_limit: Maximum number of requests that wait at one router.
     """
 
     name: Name
@@ -92,15 +92,16 @@
 
 @schema_dataclass(frozen=True, slots=True, config=_STRICT)
 class RequestClass:
-    """A class of requests with its own urgency.
+    """A class of requests with its own priority and time limits.
 
     Attributes:
         name: Name that callers give in `X-Request-Class`.
-        priority: Classes with a lower number go first within a workspace.
-        deadline_seconds: Time from arrival to the start of the answer at the
-            latest, unless the caller gives a deadline of its own.
-        max_wait_seconds: After this wait a request goes before all others of
-            its workspace, so that a low priority does not starve it.
+        priority: Requests with a lower number are served first within a
+            workspace.
+        deadline_seconds: Maximum time from the arrival of a request to the
+            start of the response, unless the caller sets a deadline.
+        max_wait_seconds: After this wait a request is served before all others
+            of its workspace, which prevents the starvation of low priorities.
     """
 
     name: Name
@@ -111,11 +112,11 @@
 
 @schema_dataclass(frozen=True, slots=True, config=_STRICT)
 class NonIdempotentRoute:
-    """Calls that must run at most once, whether or not they carry a key.
+    """Calls that must run at most once, with or without an idempotency key.
 
     Attributes:
         method: HTTP method in upper case.
-        path_prefix: Prefix of the path below the service's name.
+        path_prefix: Prefix of the path after the service's name.
     """
 
     method: Annotated[str, Field(pattern=r"^[A-Z]+$")]
@@ -127,13 +128,13 @@
     """Limits of one service.
 
     Attributes:
-        body_bytes: Largest request body.
-        silent_after_seconds: An answer that delivers nothing for this long
+        body_bytes: Maximum size of a request body.
+        silent_after_seconds: A response that delivers no data for this long
             counts as failed.
-        attempts: Largest number of times that one request is sent.
+        attempts: Maximum number of times that one request is sent.
         slot_quantum_seconds: Time for which a workspace may use a slot for
-            one request after the other. A longer time keeps slots busier when
-            requests are short, and lets the fairness gap grow by as much.
+            consecutive requests. A longer time keeps slots busier when requests
+            are short, and increases the fairness gap by the same amount.
     """
 
     body_bytes: Annotated[Integer, Field(ge=1, le=1 << 30)] = 4 * 1024 * 1024
@@ -144,13 +145,13 @@
 
 @schema_dataclass(frozen=True, slots=True, config=_STRICT)
 class ServiceDocument:
-    """The document that describes one service.
+    """Configuration of one service.
 
     Attributes:
         service: Name of the service.
         kind: Protocol of its upstreams.
-        upstreams: The pool.
-        workspaces: Who may use it.
+        upstreams: Upstreams of the service.
+        workspaces: Workspaces that may use the service.
         request_classes: Classes of requests; the first is the default.
         non_idempotent: Calls that run at most once.
         limits: Limits of the service.
@@ -190,7 +191,7 @@
     """Parse a service document written in JSON with comments.
 
     Returns:
-        The document, or every problem that it has.
+        The document, or all of its problems.
     """
     try:
         value = pyjson5.decode(text)
@@ -204,20 +205,20 @@
 def validate_document(
     value: Any,
 ) -> Result[ServiceDocument, tuple[DocumentProblem, ...]]:
-    """Check a decoded document against the schema.
+    """Validate a decoded document against the schema.
 
     Returns:
-        The document, or every problem that it has.
+        The document, or all of its problems.
     """
     problems = check_document(value)
     try:
         document = _ADAPTER.validate_python(value)
     except ValidationError as error:
-        of_fields = tuple(
-            problem_of_error(item, _FIELDS_BY_SECTION)
+        field_problems = tuple(
+            problem_from_pydantic_error(item, _FIELDS_BY_SECTION)
             for item in error.errors()
         )
-        return Failure(of_fields + problems)
+        return Failure(field_problems + problems)
     return Failure(problems) if problems else Success(document)
 
 
@@ -230,7 +231,7 @@
 def document_json_schema() -> dict[str, Any]:
     """Return the JSON schema of service documents.
 
-    It covers single fields; `validate_document` also checks names, tokens and
-    models against each other.
+    The schema covers single fields only; `validate_document` also checks fields
+    against each other.
     """
     return _ADAPTER.json_schema()
--- a/specs/configlog_mistakes.py
+++ b/specs/configlog_mistakes.py
@@ -14,7 +14,7 @@
     Snapshot,
     apply_record,
     decode_record,
-    start_state,
+    state_from_snapshot,
 )
 from lacewingspar_core.configreplica import ConfigReplica
 from lacewingspar_core.messages import LogRecord
@@ -44,7 +44,7 @@
     """Replace the state of a reader by that of a snapshot."""
     state = apply_record(state, offset, record)
     if isinstance(record, Snapshot):
-        start = start_state(0, offset, record)
+        start = state_from_snapshot(0, offset, record)
         assert start is not None
         return replace(start, next_offset=offset + 1)
     return state
@@ -54,7 +54,7 @@
     first_available: int, offset: int, record: ConfigRecord | None
 ) -> ConfigState | None:
     """Start from any snapshot as if no record after it was missing."""
-    state = start_state(0, offset, record)
+    state = state_from_snapshot(0, offset, record)
     if state is None or state.next_offset >= first_available:
         return state
     return replace(state, next_offset=first_available)
@@ -64,7 +64,7 @@
     first_available: int, offset: int, record: ConfigRecord | None
 ) -> ConfigState | None:
     """Start after a snapshot and skip the records before it."""
-    state = start_state(first_available, offset, record)
+    state = state_from_snapshot(first_available, offset, record)
     return state and replace(state, next_offset=offset)
 
 
@@ -122,10 +122,10 @@
         "snapshots", patches={"apply_record": apply_snapshots}
     ),
     "start from a stale snapshot": Mistake(
-        "snapshots", patches={"start_state": start_from_stale}
+        "snapshots", patches={"state_from_snapshot": start_from_stale}
     ),
     "skip the records before a snapshot": Mistake(
-        "snapshots", patches={"start_state": start_from_snapshot_offset}
+        "snapshots", patches={"state_from_snapshot": start_from_snapshot_offset}
     ),
     "go back to an older state": Mistake(
         "snapshots", Rules(replica=ReplacedReplica)
--- a/specs/configlog_model.py
+++ b/specs/configlog_model.py
@@ -26,7 +26,7 @@
     edit_outcome,
     encode_record,
     make_snapshot,
-    start_state,
+    state_from_snapshot,
 )
 from lacewingspar_core.configreplica import ConfigReplica
 from lacewingspar_core.messages import LogRecord
@@ -332,7 +332,7 @@
 def _decode_state(data: bytes) -> ConfigState:
     record = decode_record(data)
     assert isinstance(record, Snapshot)
-    state = start_state(0, record.as_of + 1, record)
+    state = state_from_snapshot(0, record.as_of + 1, record)
     assert state is not None
     return state
 
--- a/tests/core/test_chart.py
+++ b/tests/core/test_chart.py
@@ -1,4 +1,4 @@
-"""State charts and their load-time checks."""
+"""Tests of state charts and their validation on loading."""
 
 import msgspec
 import pytest
@@ -30,14 +30,14 @@
         ("surplus", 1, "surplus"),
     ],
 )
-def test_bad_charts(field: str, value: object, problem: str) -> None:
-    """Guards against a chart file whose mistake shows up only in service."""
+def test_invalid_charts(field: str, value: object, problem: str) -> None:
+    """Guards against chart errors that appear only in operation."""
     with pytest.raises(ChartError, match=problem):
         parse_chart("test", msgspec.json.encode(VALID | {field: value}))
 
 
 def test_unmatched_events() -> None:
-    """Guards against dropped events where the chart demands an error."""
+    """Guards against ignored events in charts that require an error."""
     strict = parse_chart("test", msgspec.json.encode(VALID))
     lenient = load_chart("router_life_cycle")
     assert lenient.next_state("stopped", "stop_signal") == "stopped"
--- a/tests/core/test_claims.py
+++ b/tests/core/test_claims.py
@@ -1,4 +1,4 @@
-"""Transition rule of the claim stream."""
+"""Tests of the rules of the claim stream."""
 
 from typing import Any
 
@@ -60,14 +60,14 @@
 def test_claim_wins(
     before: list[tuple[int, Any]], time_ms: int, has_won: bool
 ) -> None:
-    """Guards against two winners, and against a key that is never free."""
+    """Guards against two winners and against a key that is never released."""
     state = state_after(*before, (time_ms, claim(life=1)))
     entry = state.entry_at(len(before))
     assert entry is not None
     assert entry.has_won is has_won
 
 
-def test_known_record_changes_nothing_and_a_gap_is_refused() -> None:
+def test_known_record_is_ignored_and_gap_is_rejected() -> None:
     state = state_after((0, claim()))
     assert len(claims.apply_claim_record(state, 0, 0, claims.Release(0))) == 1
     with pytest.raises(RecordGapError):
@@ -93,7 +93,7 @@
     ],
 )
 def test_may_send(change: dict[str, Any], expected: bool) -> None:
-    """Guards against a send on a lost, late, foreign or expired claim."""
+    """Guards against sending with a lost, late, foreign or expired claim."""
     state = state_after((0, claim()), (0, claim(life=0)))
     values = {
         "life": LIVES[0],
@@ -107,16 +107,16 @@
     assert claims.may_send(state, claims.OwnClaim(**values), now) is expected
 
 
-def test_first_outcome_answers_attempts() -> None:
+def test_first_outcome_is_kept() -> None:
     state = state_after((0, claim()), (0, outcome(0)), (0, outcome(0, b"no")))
     entry = state.entry_of(b"k")
     assert entry is not None
     assert entry.outcome == outcome(0)
 
 
-def test_bodies_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against answers that fill the router's memory."""
-    monkeypatch.setattr(claims, "OUTCOME_BODIES_BYTES", 10)
+def test_body_memory_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against outcome bodies that fill the router's memory."""
+    monkeypatch.setattr(claims, "MAX_TOTAL_OUTCOME_BODY_BYTES", 10)
     state = claims.ClaimState(WINDOW_MS)
     for number in range(4):
         key = bytes([number])
@@ -148,14 +148,14 @@
     assert claims.key_time_ms(key) == expected
 
 
-def test_keys_of_workspaces_are_different() -> None:
+def test_claim_keys_are_scoped_to_workspaces() -> None:
     keys = {claims.claim_key("s", "w", "k"), claims.claim_key("s", "v", "k")}
     assert len(keys) == 2
     assert {len(key) for key in keys} == {16}
 
 
 @pytest.mark.parametrize("record", [claim(), claims.Release(3), outcome(3)])
-def test_records_survive_encoding(record: Any) -> None:
+def test_record_encoding_round_trip(record: Any) -> None:
     assert claims.decode_record(claims.encode_record(record)) == record
     assert claims.decode_record(claims.encode_record(record)[:-1]) is None
 
--- a/tests/core/test_configlog.py
+++ b/tests/core/test_configlog.py
@@ -1,4 +1,4 @@
-"""Transition rule of the configuration stream."""
+"""Tests of the rules of the configuration stream."""
 
 from typing import Any
 
@@ -27,13 +27,13 @@
     ],
 )
 def test_version_after_records(records: list[Any], version: int) -> None:
-    """Guards against lost updates and against invalid documents in force."""
+    """Guards against lost updates and against active invalid documents."""
     state = state_after(*records)
     assert state.version_of("s") == version
     assert state.next_offset == len(records)
 
 
-def test_known_record_changes_nothing_and_a_gap_is_refused() -> None:
+def test_known_record_is_ignored_and_gap_is_rejected() -> None:
     state = state_after(edit("a", 0))
     assert configlog.apply_record(state, 0, edit("b", 0)) is state
     with pytest.raises(RecordGapError):
@@ -59,7 +59,7 @@
     "data", [b"", b"\xff", b"\x91\xa5other", b"\x92\xa4edit\x01"]
 )
 def test_unreadable_record_is_skipped(data: bytes) -> None:
-    """Guards against a reader that stops at a record of a later release."""
+    """Guards against a reader that stops at a record of a newer release."""
     assert configlog.decode_record(data) is None
 
 
@@ -70,25 +70,25 @@
 def test_start_from_snapshot(
     first_available: int, offset: int, can_start: bool
 ) -> None:
-    """Guards against a start that misses records after the snapshot."""
+    """Guards against a restored state that lacks records."""
     state = state_after(edit("a", 0), edit("b", 1))
     snapshot = configlog.decode_record(
         configlog.encode_record(configlog.make_snapshot(state))
     )
-    started = configlog.start_state(first_available, offset, snapshot)
+    started = configlog.state_from_snapshot(first_available, offset, snapshot)
     assert started == (state if can_start else None)
 
 
-def test_snapshot_with_an_invalid_document_is_no_start() -> None:
+def test_snapshot_with_invalid_document_is_not_restored() -> None:
     snapshot = configlog.make_snapshot(state_after(edit("a", 0)))
     snapshot.service_by_name["s"].document["kind"] = "other"
-    assert configlog.start_state(0, 1, snapshot) is None
+    assert configlog.state_from_snapshot(0, 1, snapshot) is None
 
 
 def test_number_of_accepted_edits_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(configlog, "ACCEPTED_EDITS_KEPT", 2)
+    monkeypatch.setattr(configlog, "MAX_ACCEPTED_EDITS", 2)
     state = state_after(*(edit(str(n), n, DOCUMENT) for n in range(4)))
     assert list(state.accepted_by_edit_id) == ["2", "3"]
     assert configlog.apply_record(state, 4, edit("0", 0)).version_of("s") == 4
--- a/tests/core/test_configreplica.py
+++ b/tests/core/test_configreplica.py
@@ -1,4 +1,4 @@
-"""One reader's copy of the configuration."""
+"""Tests of the configuration replica."""
 
 from typing import Any
 
@@ -32,23 +32,23 @@
 
 
 @pytest.mark.parametrize(
-    ("first_retained", "first", "is_started"),
+    ("first_retained", "first", "has_state"),
     [(0, 0, True), (2, 2, True), (1, 2, True), (3, 3, False), (4, 4, False)],
 )
 def test_start_without_the_oldest_records(
     first_retained: int, first: int, is_started: bool
 ) -> None:
-    """Guards against a start that misses the third edit."""
+    """Guards against a restored state that lacks the third edit."""
     log, state = edits_with_snapshot()
     replica = ConfigReplica()
     replica.add(first_retained, log[first:])
-    assert replica.state == (state if is_started else None)
+    assert replica.state == (state if has_state else None)
     assert replica.wanted_offset == len(log)
 
 
 @pytest.mark.parametrize("known", [0, 1])
-def test_records_of_a_peer_help_a_stalled_replica(known: int) -> None:
-    """Guards against a router that waits for the next snapshot for days."""
+def test_peer_records_close_the_gap_of_a_replica(known: int) -> None:
+    """Guards against a router that waits days for the next snapshot."""
     log, state = edits_with_snapshot()
     replica = ConfigReplica()
     replica.add(0, log[:known])
@@ -59,7 +59,7 @@
 
 
 def test_peer_records_after_a_gap_are_dropped() -> None:
-    """Guards against a jump to a part of the log without a snapshot."""
+    """Guards against skipping a part of the log without a snapshot."""
     log, state = edits_with_snapshot()
     replica = ConfigReplica()
     replica.add(0, log[:1])
@@ -81,7 +81,7 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(EDITS | st.none(), max_size=8), st.data())
-def test_readers_agree_whatever_they_receive(
+def test_readers_agree_after_late_or_repeated_messages(
     records: list[Any], data: st.DataObject
 ) -> None:
     """Guards against a state that depends on repeated or late messages."""
@@ -106,12 +106,12 @@
     assert replica.state == state_after(*records)
 
 
-def test_replica_drops_old_records_if_no_snapshot_comes(
+def test_replica_drops_old_records_without_a_snapshot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against memory that grows with the log."""
     monkeypatch.setattr(
-        "lacewingspar_core.configreplica.RECORDS_KEPT_BYTES", 100
+        "lacewingspar_core.configreplica.MAX_KEPT_RECORD_BYTES", 100
     )
     replica = ConfigReplica()
     for offset in range(50):
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -1,4 +1,4 @@
-"""Directory of upstreams: order of reports, lapses and late copies."""
+"""Directory of upstreams: order of reports, expiry and late copies."""
 
 from dataclasses import replace
 
@@ -43,16 +43,16 @@
         (replace(ENTRY, born_ms=1001, sequence=0), ChangeKind.RESTARTED),
     ],
 )
-def test_only_newer_reports_count(
+def test_only_newer_reports_are_applied(
     entry: UpstreamEntry, expected: ChangeKind | None
 ) -> None:
-    """Guards against late reports that bring a leaving upstream back."""
+    """Guards against late reports that restore a draining upstream."""
     directory = UpstreamDirectory()
     assert kind_of(directory.apply(ENTRY)) is ChangeKind.ADDED
     assert kind_of(directory.apply(entry)) is expected
 
 
-def test_draining_upstream_gets_no_new_work_and_no_late_report_revives_it() -> (
+def test_draining_upstream_gets_no_work_and_late_report_does_not_restore_it() -> (
     None
 ):
     directory = UpstreamDirectory()
@@ -64,7 +64,7 @@
     assert directory.entry_by_id == {}
 
 
-def test_lapsed_upstream_is_kept_until_the_grace_is_over() -> None:
+def test_expired_upstream_is_kept_during_the_grace_period() -> None:
     """Guards against an empty pool after an outage of the registry."""
     directory = UpstreamDirectory()
     directory.apply(ENTRY)
@@ -72,12 +72,12 @@
     assert kind_of(change) is ChangeKind.LAPSED
     assert set(directory.usable("s")) == {"u1"}
     assert directory.expire(10.0 + LAPSE_GRACE_SECONDS / 2) == []
-    (gone,) = directory.expire(10.0 + LAPSE_GRACE_SECONDS)
-    assert gone.kind is ChangeKind.REMOVED
+    (removed,) = directory.expire(10.0 + LAPSE_GRACE_SECONDS)
+    assert removed.kind is ChangeKind.REMOVED
     assert directory.usable("s") == {}
 
 
-def test_lapsed_upstream_that_reports_again_stays() -> None:
+def test_expired_upstream_that_reports_again_is_kept() -> None:
     directory = UpstreamDirectory()
     directory.apply(ENTRY)
     directory.remove("u1", 10.0, may_have_lapsed=True)
@@ -86,15 +86,15 @@
     assert set(directory.usable("s")) == {"u1"}
 
 
-def test_draining_upstream_does_not_lapse() -> None:
-    """Guards against new work for an upstream that has left."""
+def test_draining_upstream_is_removed_at_once() -> None:
+    """Guards against new work for an upstream that has shut down."""
     directory = UpstreamDirectory()
     directory.apply(DRAINING)
     change = directory.remove("u1", 10.0, may_have_lapsed=True)
     assert kind_of(change) is ChangeKind.REMOVED
 
 
-def test_listing_removes_what_it_lacks() -> None:
+def test_listing_removes_missing_upstreams() -> None:
     directory = UpstreamDirectory()
     directory.apply(ENTRY)
     other = replace(ENTRY, upstream_id="u2")
--- a/tests/core/test_documents.py
+++ b/tests/core/test_documents.py
@@ -1,4 +1,4 @@
-"""Checks of service documents."""
+"""Tests of the validation of service documents."""
 
 import re
 from copy import deepcopy
@@ -23,10 +23,10 @@
 MODEL = pyjson5.decode(TEXT["language-models"])
 PLAIN = pyjson5.decode(TEXT["plant-application"])
 TOKEN = MODEL["workspaces"][0]["token_sha256"][0]
-ABSENT = object()
+REMOVED = object()
 
-MISTAKES = {
-    "service": ["Not A Name", ABSENT],
+INVALID_VALUES_BY_PATH = {
+    "service": ["Not A Name", REMOVED],
     "kind": ["other"],
     "owner": ["me"],
     "limits": [3],
@@ -34,7 +34,7 @@
     "upstreams[0].slots": [0, "8", 1.5],
     "upstreams[0].address": ["10.0.0.1"],
     "upstreams[0].vm": [""],
-    "upstreams[0].models": [[], ABSENT],
+    "upstreams[0].models": [[], REMOVED],
     "upstreams[0].models[0]": [""],
     "upstreams[0].models[1]": [MODEL["upstreams"][0]["models"][0]],
     "upstreams[1].id": [MODEL["upstreams"][0]["id"]],
@@ -58,7 +58,7 @@
         *parents, last = [int(k) if k.isdigit() else k for k in keys]
         target = reduce(getitem, parents, document)
         target[last] = value
-        if value is ABSENT:
+        if value is REMOVED:
             del target[last]
     return document
 
@@ -69,16 +69,20 @@
 
 @pytest.mark.parametrize(
     ("path", "value"),
-    [(path, value) for path, values in MISTAKES.items() for value in values],
+    [
+        (path, value)
+        for path, values in INVALID_VALUES_BY_PATH.items()
+        for value in values
+    ],
 )
-def test_each_mistake_is_found(path: str, value: Any) -> None:
-    """Guards against a mistake that is accepted or blamed on other fields."""
+def test_each_invalid_value_is_found(path: str, value: Any) -> None:
+    """Guards against an error that is accepted or reported for other fields."""
     base = PLAIN if path.startswith("non_idempotent") else MODEL
     assert problem_paths(changed(base, {path: value})) == [path]
 
 
-def test_all_mistakes_are_listed_at_once() -> None:
-    """Guards against checks that hide behind the first broken field."""
+def test_all_problems_are_listed_at_once() -> None:
+    """Guards against checks that run only if all single fields are valid."""
     changes = {
         "upstreams[0].slots": -1,
         "upstreams[0].models": ["m"],
@@ -96,14 +100,14 @@
     assert {"model", "plain"} <= set(re.findall(r"\w+", problem.allowed))
 
 
-def test_token_in_place_of_its_hash_is_not_repeated() -> None:
-    """Guards against a report that carries a secret into a log."""
+def test_token_in_place_of_its_hash_is_not_shown() -> None:
+    """Guards against an error message that writes a token to a log."""
     document = changed(MODEL, {"workspaces[0].token_sha256[0]": "secret-" * 4})
     assert "secret-secret" not in str(validate_document(document).failure())
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "3", "[" * 100_000])
-def test_text_that_is_no_document_is_refused(text: str) -> None:
+def test_text_that_is_no_document_is_rejected(text: str) -> None:
     assert not is_successful(parse_document(text))
 
 
@@ -112,7 +116,7 @@
     [("language-models", "model", 6), ("plant-application", "plain", 4)],
 )
 def test_example_is_valid(service: str, kind: str, upstreams: int) -> None:
-    """Guards against examples that the current schema refuses."""
+    """Guards against examples that the current schema rejects."""
     document = parse_document(TEXT[service]).unwrap()
     assert (document.service, document.kind) == (service, kind)
     assert len(document.upstreams) == upstreams
