--- a/packages/core/src/lacewingspar_core/directory.py
+++ b/packages/core/src/lacewingspar_core/directory.py
@@ -86,8 +86,8 @@
 class UpstreamDirectory:
     """Directory of one router, built from the records of the registry.
 
-    Records may arrive late or come from an earlier instance of an upstream. Start
-    time and sequence number determine which report is the newest.
+    Records may arrive late or come from an earlier instance of an upstream. The
+    start time and the sequence number determine which report is the newest.
     """
 
     def __init__(self) -> None:
--- a/packages/core/src/lacewingspar_core/errors.py
+++ b/packages/core/src/lacewingspar_core/errors.py
@@ -14,7 +14,7 @@
 
 
 class RecordGapError(CoreError):
-    """Records of a log stream are missing before the one to apply."""
+    """Records that precede the one to apply are missing."""
 
 
 class ChartEventError(CoreError):
--- a/packages/core/src/lacewingspar_core/event_stream.py
+++ b/packages/core/src/lacewingspar_core/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events of a stream that may go on at another upstream."""
+"""Server-sent events of a stream that may be resumed at another upstream."""
 
 import re
 from dataclasses import dataclass, field
@@ -6,63 +6,69 @@
 from lacewingspar_core.errors import CoreError
 
 _EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-_LONGEST_END_BYTES = 4
+_MAX_EVENT_END_BYTES = 4
 _EVENT_ID = re.compile(rb"(?:^|[\r\n])id: ?(\d{1,18})(?=[\r\n])")
-# An event larger than this is no event; it bounds what is held back. A stream
-# with so many bytes of events that were passed on before does not go on.
-LARGEST_EVENT_BYTES = 1024 * 1024
+# Limits the buffered part of an event, and also the data that a stream delivers
+# without a new event, such as events that were already forwarded.
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventSizeError(CoreError):
-    """What should be an event is too large to be one."""
+    """A stream delivered too much data without a new event."""
 
 
 @dataclass(slots=True)
 class EventSequence:
-    """Passes whole events on, each once and in order.
+    """Forwards complete events, each once and in order.
 
     Attributes:
-        last_id: Id of the last event passed on, or None before the first one
+        last_id: Id of the last forwarded event, or None before the first event
             with an id.
     """
 
     last_id: int | None = None
-    _held: bytearray = field(default_factory=bytearray)
-    _idle_bytes: int = 0
+    _buffer: bytearray = field(default_factory=bytearray)
+    _bytes_without_new_event: int = 0
 
     def push(self, data: bytes) -> bytes:
-        """Add a part of the stream and return the events to pass on.
+        """Add a chunk of the stream and return the events to forward.
 
         Raises:
             EventSizeError: No new event ends within the size limit.
         """
-        # The end of an event may have begun in an earlier part.
-        searched_from = max(0, len(self._held) - _LONGEST_END_BYTES + 1)
-        self._held += data
+        # The end of an event may have started in an earlier chunk.
+        searched_from = max(0, len(self._buffer) - _MAX_EVENT_END_BYTES + 1)
+        self._buffer += data
         ready = bytearray()
         start = 0
-        for end in _EVENT_END.finditer(self._held, searched_from):
-            event = bytes(self._held[start : end.end()])
+        for end in _EVENT_END.finditer(self._buffer, searched_from):
+            event = bytes(self._buffer[start : end.end()])
             start = end.end()
-            if self._is_next(event):
+            if self._is_new(event):
                 ready += event
-        del self._held[:start]
-        self._idle_bytes = 0 if ready else self._idle_bytes + len(data)
-        if max(len(self._held), self._idle_bytes) > LARGEST_EVENT_BYTES:
-            raise EventSizeError("no new event within the size limit")
+        del self._buffer[:start]
+        self._bytes_without_new_event = (
+            0 if ready else self._bytes_without_new_event + len(data)
+        )
+        if (
+            max(len(self._buffer), self._bytes_without_new_event)
+            > MAX_EVENT_BYTES
+        ):
+            raise EventSizeError("no new event ended within the size limit")
         return bytes(ready)
 
     @property
     def has_partial_event(self) -> bool:
         """Return whether the stream stopped in the middle of an event."""
-        return bool(self._held)
+        return bool(self._buffer)
 
     def drop_partial_event(self) -> None:
-        """Forget a part of an event before the stream goes on elsewhere."""
-        self._held.clear()
-        self._idle_bytes = 0
+        """Discard a partial event before the stream resumes elsewhere."""
+        self._buffer.clear()
+        self._bytes_without_new_event = 0
 
-    def _is_next(self, event: bytes) -> bool:
+    def _is_new(self, event: bytes) -> bool:
+        """Return whether an event is new, and record its id."""
         found = _EVENT_ID.search(event)
         if found is None:
             return True
--- a/packages/core/src/lacewingspar_core/mergepatch.py
+++ b/packages/core/src/lacewingspar_core/mergepatch.py
@@ -1,10 +1,10 @@
-"""JSON merge patches after RFC 7396."""
+"""JSON merge patches as defined in RFC 7396."""
 
 from typing import Any
 
 
 def apply_patch(target: Any, patch: Any) -> Any:
-    """Return the result of a merge patch; the arguments stay unchanged.
+    """Apply a merge patch and return the result; the arguments stay unchanged.
 
     Args:
         target: JSON value to change.
@@ -22,14 +22,14 @@
 
 
 def make_patch(source: Any, target: Any) -> Any:
-    """Return a merge patch that turns one JSON value into another.
+    """Create a merge patch that turns one JSON value into another.
 
-    A merge patch cannot set an object member to null. The result is exact for
-    targets whose nulls are inside arrays only.
+    A merge patch cannot set an object member to null, so the result is exact
+    only if all nulls of the target are inside arrays.
 
     Args:
-        source: JSON value that the patch will be applied to.
-        target: JSON value that the patch shall produce.
+        source: JSON value to which the patch will be applied.
+        target: JSON value that the patch produces.
     """
     if not isinstance(source, dict) or not isinstance(target, dict):
         return target
@@ -39,19 +39,20 @@
     for name, value in target.items():
         if name not in source:
             patch[name] = value
-        elif not _is_same(source[name], value):
+        elif not _is_equal_json(source[name], value):
             patch[name] = make_patch(source[name], value)
     return patch
 
 
-def _is_same(one: Any, other: Any) -> bool:
-    """Compare JSON values; Python alone would take `1` and `true` as equal."""
-    if isinstance(one, dict) and isinstance(other, dict):
-        return one.keys() == other.keys() and all(
-            _is_same(value, other[name]) for name, value in one.items()
+def _is_equal_json(left: Any, right: Any) -> bool:
+    """Compare JSON values; Python's `==` alone would equate `1` and `true`."""
+    if isinstance(left, dict) and isinstance(right, dict):
+        return left.keys() == right.keys() and all(
+            _is_equal_json(value, right[name]) for name, value in left.items()
         )
-    if isinstance(one, list | tuple) and isinstance(other, list | tuple):
-        return len(one) == len(other) and all(
-            _is_same(value, other[index]) for index, value in enumerate(one)
+    if isinstance(left, list | tuple) and isinstance(right, list | tuple):
+        return len(left) == len(right) and all(
+            _is_equal_json(value, right[index])
+            for index, value in enumerate(left)
         )
-    return type(one) is type(other) and bool(one == other)
+    return type(left) is type(right) and bool(left == right)
--- a/packages/core/src/lacewingspar_core/messages.py
+++ b/packages/core/src/lacewingspar_core/messages.py
@@ -27,10 +27,11 @@
     """State that a router announces to its peers.
 
     Attributes:
-        STARTING: It does not serve yet.
-        SERVING: It serves.
-        DRAINING: It takes no new work.
-        BUSY: It serves, and its processor has no room for work of others.
+        STARTING: The router does not serve requests yet.
+        SERVING: The router serves requests.
+        DRAINING: The router accepts no new work.
+        BUSY: The router serves requests, but has no processor time left for
+            work from other routers.
     """
 
     STARTING = "starting"
@@ -40,23 +41,23 @@
 
     @property
     def is_serving(self) -> bool:
-        """Return whether the router takes its own callers' requests."""
+        """Return whether the router accepts requests from its own callers."""
         return self in (RouterState.SERVING, RouterState.BUSY)
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What one router knows about another.
+    """Entry of the member table for one router.
 
     Attributes:
-        life: The process lifetime that the record describes.
+        life: Router instance that the record describes.
         data_centre: Data centre of the router.
         address: ZeroMQ endpoint of the router, such as `tcp://10.0.0.1:7000`.
         state: Announced state.
-        heartbeat: Number of heartbeats that this life has sent.
-        applied_offset: First configuration offset not yet applied.
+        heartbeat: Number of heartbeats that this instance has sent.
+        applied_offset: Offset of the next configuration record to apply.
         capacity: Processor time that the router may use, in cores.
         caller_address: `host:port` for callers, or "" if requests cannot be
-            handed over to it.
+            handed over to the router.
     """
 
     life: RouterLife
@@ -69,49 +70,49 @@
     caller_address: str = ""
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True):
-    """The part of a member record that changes, for a receiver that has it.
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """The changing part of a member record, for receivers that know the rest.
 
-    It takes 13 bytes, a record some 95.
+    It takes 13 bytes; a full record takes about 95.
 
     Attributes:
-        key: Result of `life_key` for the member's life.
-        heartbeat: Number of heartbeats that this life has sent.
+        instance_key: Result of `life_key` for the member's instance.
+        heartbeat: Number of heartbeats that this instance has sent.
         state: Position of its state in `RouterState`.
-        lag: Applied offset of the sender less that of the member.
+        offset_lag: Applied offset of the sender minus that of the member.
     """
 
-    key: int
+    instance_key: int
     heartbeat: int
     state: int
-    lag: int
+    offset_lag: int
 
 
 class Heartbeat(PeerMessage, frozen=True, tag="hb"):
     """Member table of the sender, or a part of it in a large fleet.
 
     Attributes:
-        members: Whole records, the sender's own first.
-        beats: Shortened records of other members.
-        known: Number of members that the sender knows to be alive, or 0 if
-            `members` has all of them.
+        members: Full records, the sender's own first.
+        beats: Updates of members whose full records are known.
+        known: Number of routers that the sender considers alive, including
+            itself; 0 if `members` lists all of them.
     """
 
     members: tuple[MemberRecord, ...]
-    beats: tuple[Beat, ...] = ()
+    beats: tuple[MemberUpdate, ...] = ()
     known: int = 0
 
 
 class DemandEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Requests of one workspace that wait at one holder.
+    """Waiting requests of one workspace at one ingress router.
 
     Attributes:
         workspace: Name of the workspace.
         model: Model that the requests need, or "" for any upstream.
-        waiting: Number of requests that wait.
-        oldest_wait_seconds: Time that the oldest of them has waited.
-        estimate_seconds: Expected slot time of the next request from measured
-            costs, in seconds, or 0 if nothing was measured.
+        waiting: Number of waiting requests.
+        oldest_wait_seconds: Time for which the oldest of them has waited.
+        estimate_seconds: Expected slot time of the next request based on
+            measured costs, in seconds, or 0 without measurements.
     """
 
     workspace: str
@@ -126,8 +127,8 @@
 
     Attributes:
         service: Name of the service.
-        sequence: Grows with every message of this sender and service; an
-            owner ignores an older one.
+        sequence: Increases with every message of this sender and service; the
+            slot owner ignores older messages.
         full: Whether entries that are not listed are zero.
         entries: Changed entries, or all of them if `full`.
     """
@@ -139,17 +140,17 @@
 
 
 class Offer(PeerMessage, frozen=True, tag="offer"):
-    """A free slot that an owner offers to a workspace at one holder.
+    """A free slot that a slot owner offers to a workspace at an ingress router.
 
     Attributes:
         service: Name of the service.
-        slot: Identity of the slot use that is offered.
+        slot: Id of the slot use that is offered.
         upstream_id: Upstream that has the free slot.
         workspace: Workspace whose request may use the slot.
-        model: Model of the demand entry that the offer answers, or "" for
-            any that the upstream serves.
-        is_forwarded: Whether an owner has passed the offer on to one of its
-            holders.
+        model: Model of the demand entry that the offer answers, or "" for any
+            that the upstream serves.
+        is_forwarded: Whether a slot owner has forwarded the offer to one of its
+            ingress routers.
     """
 
     service: str
@@ -161,7 +162,7 @@
 
 
 class OfferAccepted(PeerMessage, frozen=True, tag="accept"):
-    """The holder has bound a request to the offered slot."""
+    """The ingress router has bound a request to the offered slot."""
 
     service: str
     slot: "SlotId"
@@ -169,7 +170,7 @@
 
 
 class OfferDeclined(PeerMessage, frozen=True, tag="decline"):
-    """The holder has no request for the offered slot."""
+    """The ingress router has no request for the offered slot."""
 
     service: str
     slot: "SlotId"
@@ -178,7 +179,7 @@
 
 
 class SlotOutcome(StrEnum):
-    """How the use of a slot ended, as far as the upstream is concerned."""
+    """How the use of a slot ended, from the upstream's point of view."""
 
     COMPLETED = "completed"
     CANCELLED = "cancelled"
@@ -191,11 +192,11 @@
 
     Attributes:
         service: Name of the service.
-        slot: Identity of the slot use.
+        slot: Id of the slot use.
         upstream_id: Upstream that had the slot.
         workspace: Workspace that used the slot.
         used_seconds: Slot time from binding to release, in seconds.
-        requests: Number of requests that used the slot one after the other.
+        requests: Number of requests that used the slot consecutively.
         tokens: Tokens that the upstream reported, or 0.
         outcome: How the use ended.
     """
@@ -211,21 +212,21 @@
 
 
 class SlotId(msgspec.Struct, frozen=True, array_like=True):
-    """Identity of one use of a slot: the granting life and its offer number."""
+    """Id of one use of a slot: granting router instance and offer number."""
 
     owner: RouterLife
     offer_id: int
 
 
 class ActiveSlot(msgspec.Struct, frozen=True, array_like=True):
-    """A slot in use at a holder.
+    """A slot in use by an ingress router.
 
     Attributes:
-        slot: Identity of the slot use.
+        slot: Id of the slot use.
         upstream_id: Upstream that has the slot.
         workspace: Workspace that uses the slot.
         used_seconds: Slot time since binding, in seconds.
-        estimate_seconds: Expected slot time when it was bound, in seconds.
+        estimate_seconds: Slot time expected at binding, in seconds.
     """
 
     slot: SlotId
@@ -243,23 +244,24 @@
 
 
 class SlotReportRequest(PeerMessage, frozen=True, tag="slots?"):
-    """Asks a router for its slot report; sent by a new owner."""
+    """Requests a router's slot report; sent by a new slot owner."""
 
     service: str
 
 
 class CounterEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Service that one workspace received from one router life.
+    """Slot time that one workspace received from one router instance.
 
     Attributes:
         workspace: Name of the workspace.
-        served_ms: Slot time granted since the life began, in milliseconds;
-            it only grows. Integers take half the bytes of floating-point
-            numbers, and these messages are most of the control traffic.
-        pending_ms: Estimated slot time still to come for requests that run
-            now, in milliseconds; the latest value counts.
-        waiting: Requests of the workspace that wait in the sender's data
-            centre; the latest value counts.
+        served_ms: Slot time granted since the instance started, in
+            milliseconds; it never decreases. Integers take half the bytes of
+            floating-point numbers, and these messages are most of the control
+            traffic.
+        pending_ms: Estimated remaining slot time of running requests, in
+            milliseconds; the latest value counts.
+        waiting: Waiting requests of the workspace in the sender's data centre;
+            the latest value counts.
     """
 
     workspace: str
@@ -269,14 +271,14 @@
 
 
 class Counters(PeerMessage, frozen=True, tag="counters"):
-    """Service counters of one life for one service.
+    """Slot time counters of one router instance for one service.
 
     Attributes:
-        life: Router life that granted the service.
+        life: Router instance that granted the slot time.
         service: Name of the service.
-        data_centre: Data centre of that life.
-        sequence: Grows with every message about this life and service.
-        slots: Slots that the life owns for this service.
+        data_centre: Data centre of that instance.
+        sequence: Increases with every message about this instance and service.
+        slots: Slots that the instance owns for this service.
         entries: Changed counters.
     """
 
@@ -304,7 +306,7 @@
 
 
 class LogRecordsRequest(PeerMessage, frozen=True, tag="log?"):
-    """Asks a peer for the records of a stream from an offset on."""
+    """Requests the records of a stream from an offset on."""
 
     stream: str
     from_offset: int
@@ -315,7 +317,7 @@
 
     Attributes:
         stream: Name of the stream.
-        first_retained: First offset that the log service still had.
+        first_retained: First offset that the log service retained.
         records: Consecutive records.
     """
 
@@ -325,14 +327,15 @@
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One crash of an upstream and the requests in flight at it.
+    """One crash of an upstream and the requests in flight at that time.
 
     Attributes:
         upstream_id: Upstream that crashed.
-        epoch: Number of its crashes known when the requests were sent.
+        epoch: Number of crashes of the upstream that were known when the
+            requests were sent.
         age_seconds: Time since the crash.
-        suspects: Fingerprints of the requests in flight, as far as known.
-        cleared: Those of them that have since completed elsewhere.
+        suspects: Known fingerprints of the requests in flight.
+        cleared: Suspects that have completed elsewhere since.
     """
 
     upstream_id: str
@@ -371,7 +374,7 @@
 
     Attributes:
         service: Name of the service.
-        sequence: Grows with every message of this sender and service.
+        sequence: Increases with every message of this sender and service.
         runs: The runs.
     """
 
@@ -414,12 +417,12 @@
 
 
 def encode_message(message: AnyPeerMessage) -> bytes:
-    """Return the MessagePack form of a peer message."""
+    """Encode a peer message as MessagePack."""
     return _ENCODER.encode(message)
 
 
 def decode_message(data: bytes) -> AnyPeerMessage:
-    """Return the peer message that the bytes hold.
+    """Decode a peer message.
 
     Raises:
         MessageDecodeError: The bytes are not a known message.
--- a/packages/core/src/lacewingspar_core/peer_message.py
+++ b/packages/core/src/lacewingspar_core/peer_message.py
@@ -1,4 +1,4 @@
-"""Base of the messages between routers."""
+"""Base class of the messages between routers."""
 
 import msgspec
 
--- a/packages/core/src/lacewingspar_core/platform.py
+++ b/packages/core/src/lacewingspar_core/platform.py
@@ -19,7 +19,7 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True):
-    """Answer to an append: the offset of the first appended record."""
+    """Response to an append, with the offset of the first appended record."""
 
     first_offset: int
 
@@ -39,13 +39,13 @@
 
 
 class ReadReply(msgspec.Struct, frozen=True):
-    """Answer to `GET /streams/NAME/records?from=N&limit=N&wait_ms=N`.
+    """Response to `GET /streams/NAME/records?from=N&limit=N&wait_ms=N`.
 
-    The service answers as soon as it has a record at or after `from`, or
-    after `wait_ms` milliseconds with none.
+    The service responds as soon as it has a record at or after `from`, or with
+    no records after `wait_ms` milliseconds.
 
     Attributes:
-        first_retained: First offset that is still kept.
+        first_retained: First offset that is retained.
         next_offset: Offset that the next append will get.
         retention_ms: Time for which records are kept, in milliseconds.
         records: Consecutive records from `from` or `first_retained` on,
@@ -59,7 +59,7 @@
 
 
 class VmState(StrEnum):
-    """State of a VM in the platform's list."""
+    """State of a VM in the platform's VM list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -80,17 +80,17 @@
 
 
 class VmList(msgspec.Struct, frozen=True):
-    """Answer to `GET /vms`."""
+    """Response to `GET /vms`."""
 
     vms: tuple[Vm, ...]
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Answer of an upstream to `GET /load`.
+    """Response of an upstream to `GET /load`.
 
     Attributes:
-        running: Requests that run.
-        waiting: Requests that the upstream has admitted but not started.
+        running: Number of running requests.
+        waiting: Number of requests that were admitted but not started.
         age_ms: Age of these numbers in milliseconds.
     """
 
--- a/packages/core/src/lacewingspar_core/state_messages.py
+++ b/packages/core/src/lacewingspar_core/state_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which routers share configuration and upstreams."""
+"""Messages that distribute configuration and upstream lists among routers."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class StateNotice(PeerMessage, frozen=True, tag="state!"):
-    """Says how new the sender's shared state is.
+    """Announces which versions of the shared state the sender has.
 
     Attributes:
-        configuration_version: Version of the configuration in force.
-        directory_offset: Offset up to which the list of upstreams is known.
+        configuration_version: Version of the active configuration.
+        directory_offset: Offset up to which the sender knows the upstream list.
         changed_offset: Offset after the last record that changed the list.
         is_confirmed: Whether the sender has just read the log for its data
             centre.
@@ -23,17 +23,17 @@
 
 
 class StateRequest(PeerMessage, frozen=True, tag="state?"):
-    """Asks for shared state that is newer than the sender's."""
+    """Requests shared state that is newer than the sender's."""
 
     configuration_version: int
     directory_offset: int
 
 
 class DirectoryRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One record of the list of upstreams.
+    """One record of the upstream list.
 
     Attributes:
-        key: Identity of the upstream.
+        key: Id of the upstream.
         value: Its entry as stored, or empty if it was removed.
         offset: Offset of the record.
     """
@@ -48,15 +48,15 @@
 
     Attributes:
         configuration_version: Version of the configuration.
-        configuration: The configuration as stored, or empty if the receiver
-            has it.
-        directory_offset: Offset up to which the list is known.
-        records: Newest records of the upstreams that have changed after the
+        configuration: The configuration as stored, or empty if the receiver has
+            it.
+        directory_offset: Offset up to which the sender knows the upstream list.
+        records: Newest records of the upstreams that changed after the
             receiver's offset.
-        is_listing: Whether the records are the whole list, and upstreams that
-            are not among them have gone.
+        is_listing: Whether the records are the complete list, so that all other
+            upstreams were removed.
         may_have_lapsed: Whether upstreams may be missing because the log was
-            disturbed.
+            disrupted.
     """
 
     configuration_version: int
--- a/packages/core/src/lacewingspar_core/suspects.py
+++ b/packages/core/src/lacewingspar_core/suspects.py
@@ -1,13 +1,16 @@
-"""Which requests suspected of crashing upstreams run where in the fleet.
-
-A router reserves an upstream for a suspect and announces that. It sends the
-suspect `SETTLE_SECONDS` later, unless a router of lower rank has announced a
-conflicting run. Two reservations conflict if they have the same upstream or
-the same fingerprint. If announcements arrive within half of that time, no two
-conflicting runs are ever sent: of two reservations, the later one is refused if
-its router has the other announcement, and otherwise both routers have both
-announcements before they send. If announcements are later or lost, suspects
-may share an upstream; every router still keeps its own suspects apart.
+"""Reservations of upstreams for requests suspected of crashing them.
+
+A router reserves an upstream for a suspect and announces the reservation. It
+sends the suspect `SETTLE_SECONDS` later, unless a router of lower rank has
+announced a conflicting run. Two reservations conflict if they have the same
+upstream or the same fingerprint.
+
+If announcements arrive within half of that time, two conflicting runs are never
+both sent. Either the later reservation is refused because its router has
+already received the other announcement, or both routers receive both
+announcements before they send. If announcements arrive later or are lost,
+suspects may share an upstream; every router still keeps its own suspects on
+separate upstreams.
 """
 
 from dataclasses import dataclass
@@ -16,14 +19,14 @@
 from lacewingspar_core.messages import SuspectRun, SuspectRuns
 
 SETTLE_SECONDS = 0.1
-# Announcements are repeated, so that a lost one does no lasting harm.
+# Announcements are repeated, so that a lost one has no lasting effect.
 RENEW_SECONDS = 1.0
 EXPIRY_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Announced:
-    """Reservations of another router."""
+class _Announcement:
+    """Latest reservations that another router has announced."""
 
     sequence: int
     runs: tuple[SuspectRun, ...]
@@ -31,81 +34,90 @@
 
 
 class SuspectTable:
-    """Reserved runs of the suspects of one service.
+    """Reservations for the suspects of one service.
 
     Args:
         service: Name of the service.
-        life: Life of this router.
+        life: Instance of this router.
     """
 
     def __init__(self, service: str, life: RouterLife) -> None:
         self.service = service
         self._life = life
         self._sequence = 0
-        self._own: list[SuspectRun] = []
-        self._announced_by_life: dict[RouterLife, _Announced] = {}
+        self._own_runs: list[SuspectRun] = []
+        self._announcement_by_instance: dict[RouterLife, _Announcement] = {}
 
     @property
     def has_own_runs(self) -> bool:
         """Return whether this router has reservations."""
-        return bool(self._own)
+        return bool(self._own_runs)
 
     def busy_upstreams(self, now: float) -> frozenset[str]:
         """Return the upstreams that are reserved for a suspect."""
-        return frozenset(run.upstream_id for _, run in self._known(now))
+        return frozenset(
+            run.upstream_id for _, run in self._active_reservations(now)
+        )
 
     def is_running(self, fingerprint: str, now: float) -> bool:
         """Return whether there is a reservation for a request."""
         return any(
-            run.fingerprint == fingerprint for _, run in self._known(now)
+            run.fingerprint == fingerprint
+            for _, run in self._active_reservations(now)
         )
 
     def reserve(self, run: SuspectRun, now: float) -> bool:
-        """Reserve an upstream unless that conflicts with a known run."""
-        if any(_conflicts(run, other) for _, other in self._known(now)):
+        """Reserve an upstream unless the run conflicts with a known one."""
+        if any(
+            _conflicts(run, other)
+            for _, other in self._active_reservations(now)
+        ):
             return False
-        self._own.append(run)
+        self._own_runs.append(run)
         return True
 
     def must_yield(self, run: SuspectRun, now: float) -> bool:
         """Return whether a router of lower rank has a conflicting run."""
         return any(
             _conflicts(run, other)
-            for life, other in self._known(now)
+            for life, other in self._active_reservations(now)
             if life < self._life
         )
 
     def release(self, run: SuspectRun) -> None:
-        """End a reservation of this router."""
-        if run in self._own:
-            self._own.remove(run)
+        """Release a reservation of this router."""
+        if run in self._own_runs:
+            self._own_runs.remove(run)
 
     def merge(
         self, sender: RouterLife, message: SuspectRuns, now: float
     ) -> None:
-        """Take over the reservations of another router."""
-        known = self._announced_by_life.get(sender)
+        """Store the reservations that another router has announced."""
+        known = self._announcement_by_instance.get(sender)
         if known is not None and known.sequence >= message.sequence:
             return
-        self._announced_by_life = {
-            life: announced
-            for life, announced in self._announced_by_life.items()
-            if now < announced.expires_at
+        self._announcement_by_instance = {
+            life: announcement
+            for life, announcement in self._announcement_by_instance.items()
+            if now < announcement.expires_at
         }
-        self._announced_by_life[sender] = _Announced(
+        self._announcement_by_instance[sender] = _Announcement(
             message.sequence, message.runs, now + EXPIRY_SECONDS
         )
 
     def publish(self) -> SuspectRuns:
         """Return the announcement of this router's reservations."""
         self._sequence += 1
-        return SuspectRuns(self.service, self._sequence, tuple(self._own))
-
-    def _known(self, now: float) -> list[tuple[RouterLife, SuspectRun]]:
-        known = [(self._life, run) for run in self._own]
-        for life, announced in self._announced_by_life.items():
-            if now < announced.expires_at:
-                known += [(life, run) for run in announced.runs]
+        return SuspectRuns(self.service, self._sequence, tuple(self._own_runs))
+
+    def _active_reservations(
+        self, now: float
+    ) -> list[tuple[RouterLife, SuspectRun]]:
+        """Return the reservations of all routers that have not expired."""
+        known = [(self._life, run) for run in self._own_runs]
+        for life, announcement in self._announcement_by_instance.items():
+            if now < announcement.expires_at:
+                known += [(life, run) for run in announcement.runs]
         return known
 
 
--- a/specs/check.py
+++ b/specs/check.py
@@ -1,4 +1,4 @@
-"""Check of the protocol models, exhaustive at their stated sizes."""
+"""Exhaustive model checking of the protocol models at their stated sizes."""
 
 import contextlib
 import time
@@ -16,14 +16,15 @@
     configlog_model,
 )
 
-# Far above the largest model; a model that grows beyond it fails.
+# Far above the number of states of the largest model; a check that exceeds it
+# fails.
 MAX_STATES = 1_000_000
 CLAIMS = "claims"
 CONFIGURATION = "configuration log"
 
 
 def model_names() -> list[tuple[str, str]]:
-    """Return the pairs of model and sizes."""
+    """Return all pairs of model and sizes."""
     return [
         *((CLAIMS, name) for name in claims_model.SIZES_BY_NAME),
         *((CONFIGURATION, name) for name in configlog_model.SIZES_BY_NAME),
@@ -31,7 +32,7 @@
 
 
 def mistake_names() -> list[tuple[str, str]]:
-    """Return the pairs of model and seeded mistake."""
+    """Return all pairs of model and seeded mistake."""
     return [
         *((CLAIMS, name) for name in claims_mistakes.MISTAKES),
         *((CONFIGURATION, name) for name in configlog_mistakes.MISTAKES),
@@ -50,18 +51,18 @@
 
 
 def check_mistake(model: str, mistake: str) -> dict[str, Any]:
-    """Check a model with a seeded mistake up to the first violation."""
+    """Check a model with a seeded mistake until the first violation."""
     if model == CLAIMS:
-        wrong = claims_mistakes.MISTAKES[mistake]
-        sizes = claims_model.SIZES_BY_NAME[wrong.sizes]
-        protocol = claims_model.ClaimsModel(sizes, wrong.rules).protocol()
+        seeded = claims_mistakes.MISTAKES[mistake]
+        sizes = claims_model.SIZES_BY_NAME[seeded.sizes]
+        protocol = claims_model.ClaimsModel(sizes, seeded.rules).protocol()
         return _check(_until_violation(protocol))
-    patched = configlog_mistakes.MISTAKES[mistake]
+    seeded = configlog_mistakes.MISTAKES[mistake]
     protocol = configlog_model.ConfigLogModel(
-        configlog_model.SIZES_BY_NAME[patched.sizes], patched.rules
+        configlog_model.SIZES_BY_NAME[seeded.sizes], seeded.rules
     ).protocol()
     with contextlib.ExitStack() as stack:
-        for name, function in patched.patches.items():
+        for name, function in seeded.patches.items():
             stack.enter_context(
                 mock.patch.object(configreplica, name, function)
             )
@@ -83,10 +84,10 @@
 
 
 def _until_violation(protocol: Protocol) -> Protocol:
-    """Return a model that has no further states after a violation."""
+    """Return a copy of the model that explores no states after a violation."""
     has_failed = False
 
-    def watched(invariant: Any) -> Any:
+    def record_result(invariant: Any) -> Any:
         def check(state: dict[str, Any]) -> bool:
             nonlocal has_failed
             holds = bool(invariant(state))
@@ -101,14 +102,14 @@
             [] if has_failed else protocol.transitions(state)
         ),
         invariants={
-            name: watched(invariant)
+            name: record_result(invariant)
             for name, invariant in protocol.invariants.items()
         },
     )
 
 
 def main() -> None:
-    """Check all models and seeded mistakes and print what was found."""
+    """Check all models and seeded mistakes, and print the results."""
     for model, sizes in model_names():
         started = time.perf_counter()
         report = check_model(model, sizes)
--- a/specs/claims_mistakes.py
+++ b/specs/claims_mistakes.py
@@ -1,4 +1,4 @@
-"""Seeded mistakes that the model of the claims must find."""
+"""Seeded mistakes that the check of the claims model must find."""
 
 from dataclasses import dataclass, replace
 
@@ -14,10 +14,10 @@
 
 
 class WinnersOnlyState(ClaimState):
-    """Keeps no lost claims, so that the result depends on older records."""
+    """Drops lost claims, so that the result depends on expired records."""
 
     def add(self, offset: int, claim: Claim) -> None:
-        """Add a claim and forget it at once if it has lost."""
+        """Add a claim, and remove it at once if it has lost."""
         super().add(offset, claim)
         entry = self.entry_at(offset)
         if entry is not None and not entry.has_won:
@@ -25,18 +25,18 @@
 
 
 def may_send_late(state: ClaimState, claim: OwnClaim, now: float) -> bool:
-    """Leave out the time limit."""
+    """Ignore the time limit."""
     return may_send(state, claim, min(now, claim.appended_at))
 
 
 def may_send_lost(state: ClaimState, claim: OwnClaim, now: float) -> bool:
-    """Leave out the order of claims."""
+    """Ignore whether the claim has won."""
     entry = state.entry_at(claim.offset)
     return entry is not None and now < claim.appended_at + SEND_LIMIT_SECONDS
 
 
 def may_send_old_key(state: ClaimState, claim: OwnClaim, now: float) -> bool:
-    """Leave out the age of the key at the time of the append."""
+    """Ignore the age of the key at the time of the append."""
     return may_send(state, replace(claim, key_time_ms=None), now)
 
 
--- a/specs/claims_model.py
+++ b/specs/claims_model.py
@@ -1,18 +1,18 @@
 """Model of at-most-once claims: two routers, one key, one claim stream.
 
 The routers append, read back and send as the claims component does, and decide
-by the transition rules of `lacewingspar_core.claims`. An append takes effect at
-any later time or never, whatever becomes of its router, and its reply is always
-lost: routers recognise their records by reading. A frozen router is one that
-takes no step while the clock advances. A crashed router starts again with a new
-life, and reads again from the first retained record.
-
-Three choices keep the model small and only add behaviour. A router may claim
-whatever it has read, and may send after reading any part of the log that has
-its claim. A release takes effect at any time once its claim cannot be sent any
-more, even if the claim's router never asked for it. The check of the time limit
-and the sending are one step; a router that freezes between them is outside the
-model.
+by the rules of `lacewingspar_core.claims`. An append takes effect at any later
+time or never, even if its router crashes, and its reply is always lost: routers
+recognise their records by reading the stream. A frozen router is one that takes
+no step while the clock advances. A crashed router restarts as a new instance
+and reads again from the first retained record.
+
+Three simplifications keep the model small and only add behaviour. A router may
+claim a key whatever it has read, and may send after reading any part of the log
+that contains its claim. A release takes effect at any time once its claim can
+no longer be sent, even if the claim's router never requested it. The check of
+the time limit and the sending are a single step, so the model excludes a router
+that freezes between them.
 """
 
 from collections.abc import Callable, Iterator
@@ -38,8 +38,9 @@
 
 KEY = b"k"
 
-# `("claim", router, incarnation, sequence)`, `("release", claim offset)` or
-# `("outcome", claim offset)`; tuples are much faster to hash than records.
+# Records are tuples, which hash much faster than the record classes: `("claim",
+# router, incarnation, sequence)`, `("release", claim offset)` or `("outcome",
+# claim offset)`.
 Record = tuple[Any, ...]
 Log = tuple[tuple[int, Record], ...]
 
@@ -60,7 +61,7 @@
 
     @property
     def tick_seconds(self) -> float:
-        """Return the length of a tick."""
+        """Return the length of a tick in seconds."""
         return SEND_LIMIT_SECONDS / self.send_limit
 
     @property
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """Rules that a seeded mistake replaces."""
+    """Rules of the model, which a seeded mistake replaces."""
 
     make_state: Callable[[int], ClaimState] = ClaimState
     may_send: Callable[[ClaimState, OwnClaim, float], bool] = may_send
@@ -87,8 +88,8 @@
     """State of one router.
 
     Attributes:
-        incarnation: Number of its current life.
-        start: First offset that this life has read.
+        incarnation: Number of its current instance.
+        start: First offset that this instance has read.
         sequence: Number of its last claim.
         is_waiting: Whether it may still send the call of that claim.
         appended_at: Time before the append of that claim.
@@ -107,9 +108,9 @@
     Attributes:
         clock: Time in ticks.
         log: Pairs of append time and record.
-        in_flight: Claims whose append has not taken effect.
+        in_flight: Claims whose append has not taken effect yet.
         routers: The routers.
-        sends: Pairs of time and claim of each run of the call.
+        sends: Pairs of time and claim, one for each run of the call.
         attempts: Number of claims made.
         crashes: Number of crashes.
     """
@@ -135,7 +136,7 @@
         self._replay = lru_cache(maxsize=None)(self._replay_uncached)
 
     def protocol(self) -> Protocol:
-        """Return the model in the form of the model checker."""
+        """Return the model in the format of the model checker."""
         return Protocol(
             name="claims",
             candidate=False,
@@ -143,19 +144,19 @@
             initial=State(0, (), (), (Router(), Router()), (), 0, 0),
             transitions=lambda state: list(self._steps(state)),
             invariants={
-                "at most one run": self._runs_once,
-                "a released claim has not run": _releases_are_true,
+                "at most one run": self._runs_at_most_once,
+                "a released claim has not run": _released_claims_have_not_run,
             },
         )
 
-    def _runs_once(self, state: dict[str, Any]) -> bool:
+    def _runs_at_most_once(self, state: dict[str, Any]) -> bool:
         times = [time for time, _ in state["sends"]]
         if self.sizes.key_has_time:
             return len(times) <= 1
-        # A claim may be used until the limit after its append.
-        apart = self.sizes.window - self.sizes.send_limit
+        # A claim can be used until the send limit has passed since its append.
+        min_gap = self.sizes.window - self.sizes.send_limit
         return all(
-            later - earlier > apart for earlier, later in pairwise(times)
+            later - earlier > min_gap for earlier, later in pairwise(times)
         )
 
     def _steps(self, state: State) -> Iterator[Step]:
@@ -163,11 +164,11 @@
             yield "tick", self._tick(state)
         for index, claim in enumerate(state.in_flight):
             rest = state.in_flight[:index] + state.in_flight[index + 1 :]
-            landed = _append(state, claim)._replace(in_flight=rest)
-            yield f"{claim} takes effect", landed
+            appended = _append(state, claim)._replace(in_flight=rest)
+            yield f"{claim} takes effect", appended
         for offset, (_, record) in enumerate(state.log):
             if record[0] == "claim":
-                yield from self._settle(state, offset, record)
+                yield from self._release_or_outcome_steps(state, offset, record)
         for index, router in enumerate(state.routers):
             yield from self._router_steps(state, index, router)
 
@@ -180,7 +181,7 @@
         return state
 
     def _is_in_time(self, state: State, router: Router) -> bool:
-        """Return whether the rule would allow to send a claim that has won."""
+        """Return whether a won claim of the router could still be sent."""
         claims = ClaimState(self.sizes.tick_ms)
         life = RouterLife("", 0)
         apply_claim_record(claims, 0, 0, Claim(KEY, b"", life, 0))
@@ -189,7 +190,7 @@
         now = state.clock * self.sizes.tick_seconds
         return self.rules.may_send(claims, own, now)
 
-    def _settle(
+    def _release_or_outcome_steps(
         self, state: State, offset: int, claim: Record
     ) -> Iterator[Step]:
         records = [record for _, record in state.log]
@@ -208,7 +209,7 @@
     def _router_steps(
         self, state: State, index: int, router: Router
     ) -> Iterator[Step]:
-        # The routers are alike, so it is enough that one of them crashes.
+        # The routers are identical, so it is enough that one of them crashes.
         if index == 0 and state.crashes < self.sizes.crashes:
             yield from self._crash(state, index)
         if self.rules.resumes_claims_after_crash:
@@ -230,7 +231,7 @@
     def _resume(
         self, state: State, index: int, router: Router
     ) -> Iterator[Step]:
-        """Send claims of earlier lives, which is a mistake."""
+        """Send claims of earlier instances; only for a seeded mistake."""
         for offset, (_, record) in enumerate(state.log):
             is_old = record[:2] == ("claim", index)
             is_old = is_old and record[2] < router.incarnation
@@ -268,7 +269,7 @@
             appended_at=state.clock,
         )
         claim = ("claim", index, router.incarnation, router.sequence)
-        # The order of appends in flight has no meaning.
+        # Sorted to merge equal states: the order of appends is irrelevant.
         in_flight = tuple(sorted((*state.in_flight, claim)))
         state = _with_router(state, index, router)
         return state._replace(in_flight=in_flight, attempts=state.attempts + 1)
@@ -299,7 +300,7 @@
         retention = self.rules.retention or self.sizes.retention
         limit = state.clock - retention
         dropped = sum(time <= limit for time, _ in state.log)
-        # The log service may keep records longer than it has to.
+        # The log service may keep records longer than the retention.
         for start in range(dropped + 1):
             router = Router(incarnation, start)
             restarted = _with_router(state, index, router)
@@ -319,7 +320,7 @@
     )
 
 
-def _releases_are_true(state: dict[str, Any]) -> bool:
+def _released_claims_have_not_run(state: dict[str, Any]) -> bool:
     records = [record for _, record in state["log"]]
     return not any(
         claim in records and ("release", records.index(claim)) in records
--- a/specs/configlog_mistakes.py
+++ b/specs/configlog_mistakes.py
@@ -1,4 +1,4 @@
-"""Seeded mistakes that the model of the configuration log must find."""
+"""Seeded mistakes that the check of the configuration log must find."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field, replace
@@ -23,7 +23,7 @@
 def apply_without_base(
     state: ConfigState, offset: int, record: ConfigRecord | None
 ) -> ConfigState:
-    """Accept an edit whatever its base version is."""
+    """Accept an edit with any base version."""
     if isinstance(record, Edit):
         version = state.version_of(record.service)
         record = structs.replace(record, base_version=version)
@@ -33,7 +33,7 @@
 def apply_without_ids(
     state: ConfigState, offset: int, record: ConfigRecord | None
 ) -> ConfigState:
-    """Forget which edits were accepted."""
+    """Discard the ids of accepted edits."""
     state = apply_record(state, offset, record)
     return replace(state, accepted_by_edit_id={})
 
@@ -41,7 +41,7 @@
 def apply_snapshots(
     state: ConfigState, offset: int, record: ConfigRecord | None
 ) -> ConfigState:
-    """Replace the state of a reader by that of a snapshot."""
+    """Replace the state of a reader by that of each snapshot."""
     state = apply_record(state, offset, record)
     if isinstance(record, Snapshot):
         start = state_from_snapshot(0, offset, record)
@@ -50,26 +50,26 @@
     return state
 
 
-def start_from_stale(
+def start_from_stale_snapshot(
     first_available: int, offset: int, record: ConfigRecord | None
 ) -> ConfigState | None:
-    """Start from any snapshot as if no record after it was missing."""
+    """Start from any snapshot, even if records after it are missing."""
     state = state_from_snapshot(0, offset, record)
     if state is None or state.next_offset >= first_available:
         return state
     return replace(state, next_offset=first_available)
 
 
-def start_from_snapshot_offset(
+def start_after_snapshot_record(
     first_available: int, offset: int, record: ConfigRecord | None
 ) -> ConfigState | None:
-    """Start after a snapshot and skip the records before it."""
+    """Start after a snapshot, skipping the records it does not include."""
     state = state_from_snapshot(first_available, offset, record)
     return state and replace(state, next_offset=offset)
 
 
 class GapReplica(ConfigReplica):
-    """Goes on after a gap as if no record was missing."""
+    """Continues after a gap as if no record were missing."""
 
     def _restart(self, first: int) -> None:
         super()._restart(first)
@@ -77,7 +77,7 @@
 
 
 class ReplacedReplica(ConfigReplica):
-    """Starts again from every message that has a snapshot."""
+    """Restarts from every message that contains a snapshot."""
 
     def add(self, first_retained: int, records: Sequence[LogRecord]) -> bool:
         """Forget the state before adding records with a snapshot."""
@@ -93,7 +93,7 @@
     """A seeded mistake.
 
     Attributes:
-        sizes: Name of the sizes that find it.
+        sizes: Name of the model sizes that find it.
         rules: Changed rules of the model.
         patches: Replaced functions of `configreplica` by name.
     """
@@ -115,17 +115,18 @@
         {"apply_record": apply_without_ids},
     ),
     "report a conflict before reading back": Mistake(
-        "edits", Rules(answers_unread=True)
+        "edits", Rules(answers_before_reading_back=True)
     ),
     "go on after a gap": Mistake("edits", Rules(replica=GapReplica)),
     "replace the state by a snapshot": Mistake(
         "snapshots", patches={"apply_record": apply_snapshots}
     ),
     "start from a stale snapshot": Mistake(
-        "snapshots", patches={"state_from_snapshot": start_from_stale}
+        "snapshots", patches={"state_from_snapshot": start_from_stale_snapshot}
     ),
     "skip the records before a snapshot": Mistake(
-        "snapshots", patches={"state_from_snapshot": start_from_snapshot_offset}
+        "snapshots",
+        patches={"state_from_snapshot": start_after_snapshot_record},
     ),
     "go back to an older state": Mistake(
         "snapshots", Rules(replica=ReplacedReplica)
--- a/specs/configlog_model.py
+++ b/specs/configlog_model.py
@@ -1,10 +1,10 @@
 """Model of the configuration log: two routers, one service, one stream.
 
-The routers publish, read, pass records on and write snapshots as the
+The routers publish, read, forward records and write snapshots as the
 configuration component does, with `lacewingspar_core.configreplica` and the
-transition rules of `lacewingspar_core.configlog`. An append takes effect at any
-later time or never, and its reply is always lost. The log service drops its
-oldest records at any time. A crashed router starts again without memory.
+rules of `lacewingspar_core.configlog`. An append takes effect at any later time
+or never, and its reply is always lost. The log service drops its oldest records
+at any time. A crashed router restarts without memory.
 """
 
 from collections.abc import Callable, Iterator
@@ -52,13 +52,13 @@
 
 
 class Reader(NamedTuple):
-    """What distinguishes one configuration replica from another.
+    """State of a configuration replica.
 
     Attributes:
         first: First offset of the kept records.
         records: The kept records.
         state: Snapshot of its state, or None before the start.
-        first_retained: First retained offset that it has heard of.
+        first_retained: First retained offset that it knows.
     """
 
     first: int = 0
@@ -68,7 +68,7 @@
 
     @property
     def wanted(self) -> int:
-        """Return the first offset that is not known."""
+        """Return the offset of the next record to receive."""
         return self.first + len(self.records)
 
 
@@ -90,10 +90,10 @@
     Attributes:
         log: All records ever appended.
         first: First retained offset.
-        in_flight: Records whose append has not taken effect.
+        in_flight: Records whose append has not taken effect yet.
         routers: The routers.
-        answers: Pairs of edit and version, or 0 for a conflict, as answered
-            to operators.
+        answers: Answers to operators, as pairs of edit and version; the version
+            is 0 for a conflict.
         edits: Number of edits published.
         repeats: Number of edits published again.
         snapshots: Number of snapshots written.
@@ -119,18 +119,18 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """Rules that a seeded mistake replaces.
+    """Rules of the model, which a seeded mistake replaces.
 
     Attributes:
         replica: Class of the replicas.
-        apply: Rule by which the whole log is read.
-        answers_unread: Whether an operator gets a conflict as answer before
-            the edit has been read back.
+        apply: Rule that the expected state is built with.
+        answers_before_reading_back: Whether an operator is told of a conflict
+            before the edit has been read back.
     """
 
     replica: type[ConfigReplica] = ConfigReplica
     apply: ApplyRule = apply_record
-    answers_unread: bool = False
+    answers_before_reading_back: bool = False
 
 
 class ConfigLogModel:
@@ -140,10 +140,10 @@
         self.sizes = sizes
         self.rules = rules or Rules()
         self._add = lru_cache(maxsize=None)(self._add_uncached)
-        self._truth = lru_cache(maxsize=None)(self._truth_uncached)
+        self._expected = lru_cache(maxsize=None)(self._expected_uncached)
 
     def protocol(self) -> Protocol:
-        """Return the model in the form of the model checker."""
+        """Return the model in the format of the model checker."""
         return Protocol(
             name="configuration log",
             candidate=False,
@@ -154,7 +154,7 @@
                 "readers agree": self._readers_agree,
                 "no reader goes back": lambda state: not state["has_reverted"],
                 "edits build on each other": self._edits_are_in_order,
-                "answers are true": self._answers_are_true,
+                "answers are true": self._answers_are_correct,
             },
         )
 
@@ -163,14 +163,14 @@
             if router.reader.state is None:
                 continue
             end = _decode_state(router.reader.state).next_offset
-            if router.reader.state != self._truth(state["log"][:end])[0]:
+            if router.reader.state != self._expected(state["log"][:end])[0]:
                 return False
         return True
 
     def _edits_are_in_order(self, state: dict[str, Any]) -> bool:
         version = 0
         edit_ids = set()
-        for data, new_version in self._truth(state["log"])[1]:
+        for data, new_version in self._expected(state["log"])[1]:
             edit = _edit(data)
             if edit.base_version != version or edit.edit_id in edit_ids:
                 return False
@@ -178,32 +178,32 @@
             edit_ids.add(edit.edit_id)
         return True
 
-    def _answers_are_true(self, state: dict[str, Any]) -> bool:
-        made = self._truth(state["log"])[1]
+    def _answers_are_correct(self, state: dict[str, Any]) -> bool:
+        created = self._expected(state["log"])[1]
         return all(
             any(
                 new_version == version
                 and _edit(other).edit_id == _edit(data).edit_id
-                for other, new_version in made
+                for other, new_version in created
             )
             if version
-            else all(other != data for other, _ in made)
+            else all(other != data for other, _ in created)
             for data, version in state["answers"]
         )
 
-    def _truth_uncached(
+    def _expected_uncached(
         self, log: tuple[bytes, ...]
     ) -> tuple[bytes, list[tuple[bytes, int]]]:
-        """Return the state after a log, and the edits that made versions."""
+        """Return the state after a log, and the edits that created versions."""
         config = ConfigState()
-        made = []
+        created = []
         for offset, data in enumerate(log):
             before = config.version_of(SERVICE)
             config = self.rules.apply(config, offset, decode_record(data))
             after = config.version_of(SERVICE)
             if after != before:
-                made.append((data, after))
-        return encode_record(make_snapshot(config)), made
+                created.append((data, after))
+        return encode_record(make_snapshot(config)), created
 
     def _add_uncached(
         self, reader: Reader, first_retained: int, page: tuple[LogRecord, ...]
@@ -249,7 +249,7 @@
                 self._receive(state, index, state.first, ()),
             )
         if self.sizes.with_peers:
-            # All kept records, as in a message that was long under way.
+            # All kept records, like a message that was in flight for long.
             sender = state.routers[1 - index].reader
             page = _log_records(sender.first, sender.records)
             if page and sender.state is not None:
@@ -276,7 +276,7 @@
             published = _publish(state, index, edit)
             yield f"{index} edits", published._replace(edits=state.edits + 1)
         if state.repeats < self.sizes.repeats:
-            # An operator publishes an edit again, on any version.
+            # An operator publishes an edit again, for any base version.
             for number in range(state.edits):
                 edit = _make_edit(str(number), config)
                 again = _publish(state, index, edit)
@@ -298,7 +298,7 @@
         assert pending is not None
         edit = _edit(pending)
         outcome = edit_outcome(config, edit.edit_id, SERVICE, edit.base_version)
-        if outcome is None and self.rules.answers_unread:
+        if outcome is None and self.rules.answers_before_reading_back:
             outcome = EditConflict(0, "", "")
         match outcome:
             case EditAccepted():
@@ -363,7 +363,7 @@
 
 
 def _append(state: State, data: bytes) -> State:
-    # The order of appends in flight has no meaning.
+    # Sorted to merge equal states: the order of appends is irrelevant.
     in_flight = tuple(sorted((*state.in_flight, data)))
     return state._replace(in_flight=in_flight)
 
--- a/tests/core/test_configreplica.py
+++ b/tests/core/test_configreplica.py
@@ -36,7 +36,7 @@
     [(0, 0, True), (2, 2, True), (1, 2, True), (3, 3, False), (4, 4, False)],
 )
 def test_start_without_the_oldest_records(
-    first_retained: int, first: int, is_started: bool
+    first_retained: int, first: int, has_state: bool
 ) -> None:
     """Guards against a restored state that lacks the third edit."""
     log, state = edits_with_snapshot()
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -52,9 +52,7 @@
     assert kind_of(directory.apply(entry)) is expected
 
 
-def test_draining_upstream_gets_no_work_and_late_report_does_not_restore_it() -> (
-    None
-):
+def test_draining_upstream_gets_no_work_and_stays_removed() -> None:
     directory = UpstreamDirectory()
     directory.apply(DRAINING)
     assert directory.usable("s") == {}
--- a/tests/core/test_event_stream.py
+++ b/tests/core/test_event_stream.py
@@ -1,9 +1,9 @@
-"""Events of a stream: whole, once and in order."""
+"""Tests that a stream delivers complete events once and in order."""
 
 import pytest
 
 from lacewingspar_core.event_stream import (
-    LARGEST_EVENT_BYTES,
+    MAX_EVENT_BYTES,
     EventSequence,
     EventSizeError,
 )
@@ -15,21 +15,21 @@
 
 @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n", b"\r\r"])
 @pytest.mark.parametrize("size", [1, 3, 7, 1000])
-def test_events_pass_whole_whatever_the_parts(end: bytes, size: int) -> None:
-    """Guards against half an event that another upstream continues."""
+def test_events_are_complete_for_any_chunk_size(end: bytes, size: int) -> None:
+    """Guards against a partial event that another upstream continues."""
     stream = event(1, end) + event(2, end) + event(3, end)
     sequence = EventSequence()
-    passed = []
+    forwarded = []
     for start in range(0, len(stream), size):
         ready = sequence.push(stream[start : start + size])
         assert not ready or ready.endswith(end)
-        passed.append(ready)
-    assert b"".join(passed) == stream
+        forwarded.append(ready)
+    assert b"".join(forwarded) == stream
     assert sequence.last_id == 3
     assert not sequence.has_partial_event
 
 
-def test_resumed_stream_repeats_no_event() -> None:
+def test_resumed_stream_skips_repeated_events() -> None:
     sequence = EventSequence()
     sequence.push(event(1) + event(2) + b"id: 3\nda")
     assert sequence.has_partial_event
@@ -37,21 +37,21 @@
     assert sequence.push(event(2) + event(3)) == event(3)
 
 
-def test_events_without_an_id_pass() -> None:
+def test_events_without_an_id_are_forwarded() -> None:
     sequence = EventSequence(last_id=4)
     assert sequence.push(b"data: [end]\n\n") == b"data: [end]\n\n"
 
 
-def test_endless_event_is_refused() -> None:
-    """Guards against an upstream that fills the memory."""
+def test_oversized_event_is_rejected() -> None:
+    """Guards against an upstream that fills the router's memory."""
     with pytest.raises(EventSizeError):
-        EventSequence().push(b"x" * (LARGEST_EVENT_BYTES + 1))
+        EventSequence().push(b"x" * (MAX_EVENT_BYTES + 1))
 
 
-def test_repeated_events_without_end_are_no_stream() -> None:
+def test_endless_repeated_events_are_rejected() -> None:
     sequence = EventSequence(last_id=9)
     part = event(9) * 1000
-    for _ in range(LARGEST_EVENT_BYTES // len(part)):
+    for _ in range(MAX_EVENT_BYTES // len(part)):
         sequence.push(part)
     with pytest.raises(EventSizeError):
         sequence.push(part)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Member tables that spread by gossip."""
+"""Tests of the member table and its gossip."""
 
 import random
 
@@ -6,10 +6,10 @@
 import pytest
 
 from lacewingspar_core.membership import (
-    FULL_TABLE_ROUTERS,
-    LOCAL_BEATS,
-    NEW_RECORDS,
-    REMOTE_BEATS,
+    LOCAL_UPDATES_PER_HEARTBEAT,
+    MAX_FULL_TABLE_ROUTERS,
+    NEW_RECORDS_PER_HEARTBEAT,
+    REMOTE_UPDATES_PER_HEARTBEAT,
     Membership,
 )
 from lacewingspar_core.messages import Heartbeat, RouterState, encode_message
@@ -23,9 +23,9 @@
     return membership
 
 
-@pytest.mark.parametrize("routers", [1, 8, FULL_TABLE_ROUTERS])
-def test_small_fleet_exchanges_whole_tables(routers: int) -> None:
-    """Guards the fast detection of failures in the fleets of today."""
+@pytest.mark.parametrize("routers", [1, 8, MAX_FULL_TABLE_ROUTERS])
+def test_small_fleet_exchanges_full_tables(routers: int) -> None:
+    """Guards against slow failure detection in small fleets."""
     heartbeat, _ = _membership(routers).beat(0.1)
     assert (len(heartbeat.members), heartbeat.beats) == (routers, ())
 
@@ -35,16 +35,21 @@
 def test_heartbeat_is_bounded(routers: int, now: float) -> None:
     """Guards against traffic that grows with the square of the fleet."""
     heartbeat, receivers = _membership(routers).beat(now)
-    assert len(heartbeat.members) <= 2 + NEW_RECORDS
-    assert len(heartbeat.beats) <= LOCAL_BEATS + REMOTE_BEATS * 3 // 2
+    assert len(heartbeat.members) <= 2 + NEW_RECORDS_PER_HEARTBEAT
+    assert (
+        len(heartbeat.beats)
+        <= LOCAL_UPDATES_PER_HEARTBEAT + REMOTE_UPDATES_PER_HEARTBEAT * 3 // 2
+    )
     assert len(receivers) <= 3
     assert len(encode_message(heartbeat)) < 2800
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("loss", [0.0, 0.05])
-def test_only_failed_routers_are_suspected(seed: int, loss: float) -> None:
-    """Guards the suspect time for a data centre of the target size."""
+def test_only_failed_routers_are_considered_failed(
+    seed: int, loss: float
+) -> None:
+    """Guards against false failures in a data centre of the target size."""
     fleet = GossipFleet(routers=78, data_centres=1, seed=seed, loss=loss)
     fleet.run(25.0)
     assert fleet.figures.local_misses == 0
@@ -53,13 +58,13 @@
 
 
 @pytest.mark.parametrize(
-    ("heartbeat", "state", "is_taken"),
+    ("heartbeat", "state", "is_applied"),
     [(1, RouterState.DRAINING, True), (-1, RouterState.DRAINING, False)],
 )
-def test_shortened_record_carries_state_and_offset(
-    heartbeat: int, state: RouterState, is_taken: bool
+def test_member_update_carries_state_and_offset(
+    heartbeat: int, state: RouterState, is_applied: bool
 ) -> None:
-    """Guards against a state that is lost or comes back from an old beat."""
+    """Guards against a lost state and against one from an old update."""
     sender, receiver = _membership(40), _membership(40)
     before = member_record(7, 5)
     after = msgspec.structs.replace(
@@ -73,21 +78,21 @@
     records[5] = after
     sender.merge(Heartbeat(tuple(records)), 0.0)
     message, _ = sender.beat(6.0)
-    beats_only = msgspec.structs.replace(message, members=message.members[:1])
-    receiver.merge(beats_only, 6.0)
+    updates_only = msgspec.structs.replace(message, members=message.members[:1])
+    receiver.merge(updates_only, 6.0)
     known = receiver.alive(6.0)[before.life.router_id]
-    assert known == (after if is_taken else before)
+    assert known == (after if is_applied else before)
 
 
-def test_restarted_router_gets_the_whole_table() -> None:
-    """Guards against a router that learns of the fleet only bit by bit."""
+def test_restarted_router_gets_the_full_table() -> None:
+    """Guards against a restarted router that learns the fleet too slowly."""
     known = _membership(390)
-    newcomer = Membership(member_record(7, 5), (), random.Random(1))
-    known.merge(newcomer.beat(1.0)[0], 1.0)
+    restarted = Membership(member_record(7, 5), (), random.Random(1))
+    known.merge(restarted.beat(1.0)[0], 1.0)
     table, receivers = known.take_tables(1.0)
-    assert receivers == [newcomer.own.life.router_id]
+    assert receivers == [restarted.own.life.router_id]
     assert table is not None
-    newcomer.merge(table, 1.1)
-    assert len(newcomer.alive(1.1)) == 390
-    known.merge(newcomer.beat(2.0)[0], 2.0)
+    restarted.merge(table, 1.1)
+    assert len(restarted.alive(1.1)) == 390
+    known.merge(restarted.beat(2.0)[0], 2.0)
     assert known.take_tables(2.0) == (None, [])
--- a/tests/core/test_mergepatch.py
+++ b/tests/core/test_mergepatch.py
@@ -1,4 +1,4 @@
-"""JSON merge patches."""
+"""Tests of JSON merge patches."""
 
 from typing import Any
 
@@ -49,9 +49,9 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(DOCUMENTS, DOCUMENTS)
-def test_made_patch_leads_to_the_target(source: Any, target: Any) -> None:
-    """Guards against an edit that publishes another document."""
-    # The text form tells 1 from true and from 1.0.
+def test_created_patch_produces_the_target(source: Any, target: Any) -> None:
+    """Guards against an edit that publishes a wrong document."""
+    # `repr` distinguishes 1, True and 1.0, which compare as equal.
     before = repr(source)
     result = apply_patch(source, make_patch(source, target))
     assert repr(_sorted(result)) == repr(_sorted(target))
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine of requests that crash upstreams."""
+"""Tests of the quarantine of requests that crash upstreams."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,7 +8,7 @@
 from lacewingspar_core.messages import CrashRecord, Quarantine
 from lacewingspar_core.quarantine import QuarantineState
 
-LAST_SECOND = 1.0 + quarantine.RETENTION_SECONDS
+LAST_EXPIRY_SECONDS = 1.0 + quarantine.RETENTION_SECONDS
 
 
 def _state(*crashes: str, cleared_after: int = -1) -> QuarantineState:
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    ("crashes", "cleared_after", "refused", "alone"),
+    ("crashes", "cleared_after", "refused", "must_run_alone"),
     [
         (["x"], -1, "", "x"),
         (["x", "x"], -1, "x", "x"),
@@ -43,28 +43,30 @@
     ],
 )
 def test_suspects(
-    crashes: list[str], cleared_after: int, refused: str, alone: str
+    crashes: list[str], cleared_after: int, refused: str, must_run_alone: str
 ) -> None:
-    """Guards against lost upstreams, and against refusing bystanders.
+    """Guards against repeated crashes and against refusing innocent requests.
 
     A completed run of `x` clears it of the crashes that it shares.
     """
     state = _state(*crashes, cleared_after=cleared_after)
     assert [n for n in "abcdx" if state.is_refused(n, 2.0)] == list(refused)
-    assert [n for n in "abcdx" if state.must_run_alone(n, 2.0)] == list(alone)
+    assert [n for n in "abcdx" if state.must_run_alone(n, 2.0)] == list(
+        must_run_alone
+    )
 
 
 def test_quarantine_ends_and_records_expire() -> None:
-    """Guards against state that stays for ever."""
+    """Guards against quarantines and records that never expire."""
     state = _state("x", "x")
     assert state.is_refused("x", 600.9)
     assert not state.is_refused("x", 601.0)
     assert not state.must_run_alone("x", 601.0)
-    assert state.publish(LAST_SECOND, full=True) == Quarantine("s", ())
+    assert state.publish(LAST_EXPIRY_SECONDS, full=True) == Quarantine("s", ())
     age = quarantine.MERGE_AGE_LIMIT_SECONDS
     expiring = CrashRecord("u", 0, age, ("x",), ())
-    state.merge(Quarantine("s", (expiring,)), LAST_SECOND)
-    assert state.publish(LAST_SECOND, full=True) == Quarantine("s", ())
+    state.merge(Quarantine("s", (expiring,)), LAST_EXPIRY_SECONDS)
+    assert state.publish(LAST_EXPIRY_SECONDS, full=True) == Quarantine("s", ())
 
 
 def _exchange(states: list[QuarantineState], now: float) -> None:
@@ -75,7 +77,7 @@
 
 
 def test_a_crash_seen_by_two_routers_counts_once() -> None:
-    """Guards against a quarantine from one crash with two observers."""
+    """Guards against counting one crash twice if two routers observe it."""
     states = [QuarantineState("s"), QuarantineState("s")]
     for state, suspects in zip(states, "xa", strict=True):
         state.on_crash("u", 0, suspects, 0.0)
@@ -96,13 +98,13 @@
 def test_one_request_costs_at_most_three_upstreams(
     attempts: list[tuple[int, int, frozenset[str]]],
 ) -> None:
-    """Guards against a caller that goes from router to router.
+    """Guards against a caller that sends a crashing request to many routers.
 
-    Each attempt names a router, an upstream and the requests that run next to
-    the crashing one, whether or not they are suspects themselves.
+    Each attempt consists of a router, an upstream, and the requests that run
+    there together with the crashing one, whether or not they are suspects.
     """
     states = [QuarantineState("s") for _ in range(4)]
-    lost = 0
+    crashes = 0
     for now, (router, number, others) in enumerate(attempts):
         if states[router].is_refused("x", now):
             continue
@@ -111,8 +113,8 @@
         for state, name in zip(states, sorted(others), strict=False):
             state.on_crash(upstream, epoch, name, now)
         _exchange(states, now)
-        lost += 1
-    assert lost <= 3
+        crashes += 1
+    assert crashes <= 3
 
 
 @st.composite
@@ -130,19 +132,19 @@
     records: list[CrashRecord], data: st.DataObject
 ) -> None:
     """Guards against routers that disagree after the same messages."""
-    views = []
+    results = []
     for order in (records, data.draw(st.permutations(records * 2))):
         state = QuarantineState("s")
         for record in order:
             state.merge(Quarantine("s", (record,)), 5000.0)
         ends = [state.refused_until(name, 5000.0) for name in "abcd"]
         epochs = [state.epoch(name) for name in "uv"]
-        views.append((state.publish(5000.0, full=True), ends, epochs))
-    assert views[0] == views[1]
+        results.append((state.publish(5000.0, full=True), ends, epochs))
+    assert results[0] == results[1]
 
 
 def test_memory_is_bounded() -> None:
-    """Guards against growth when many upstreams fail under load."""
+    """Guards against memory growth when many upstreams crash under load."""
     state = QuarantineState("s")
     for number in range(quarantine.MAXIMUM_CRASHES + 10):
         suspects = {f"{number}-{n}" for n in range(300)}
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -1,4 +1,4 @@
-"""Reservations of upstreams for suspects."""
+"""Tests of the reservations of upstreams for suspects."""
 
 import pytest
 
@@ -21,7 +21,7 @@
     ],
 )
 def test_conflicting_runs(other: SuspectRun, conflicts: bool) -> None:
-    """Guards against two suspects on one upstream, and one on two."""
+    """Guards against runs that share an upstream or a fingerprint."""
     table = SuspectTable("s", LIVES[0])
     assert table.reserve(RUN, 0.0)
     assert table.reserve(other, 0.0) is not conflicts
@@ -29,8 +29,8 @@
     assert table.reserve(other, 0.0) is conflicts
 
 
-def test_reservations_of_a_silent_router_expire() -> None:
-    """Guards against an upstream that stays closed to suspects for ever."""
+def test_reservations_expire_without_announcements() -> None:
+    """Guards against a reservation that never expires."""
     first, second = (SuspectTable("s", life) for life in LIVES)
     second.reserve(RUN, 0.0)
     message = second.publish()
@@ -50,7 +50,7 @@
 def test_two_routers_never_send_conflicting_runs(
     first: int, delay: float, step: int
 ) -> None:
-    """Guards against a gap between reserving and sending."""
+    """Guards against conflicting reservations that are not yet announced."""
     tables = [SuspectTable("s", life) for life in LIVES]
     earlier, later = tables[first], tables[1 - first]
     later_at = step * SETTLE / 8
--- a/tests/specs/test_check.py
+++ b/tests/specs/test_check.py
@@ -1,4 +1,4 @@
-"""Models of the claims and of the configuration log."""
+"""Tests of the models of the claims and the configuration log."""
 
 import pytest
 from specs.check import (
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize(("model", "sizes"), model_names())
 def test_model_holds_in_every_state(model: str, sizes: str) -> None:
-    """Guards against a rule that breaks a guarantee in some order of events."""
+    """Guards against rules that break a guarantee for some order of events."""
     report = check_model(model, sizes)
     assert report["exhaustive"]
     assert not violations(report)
@@ -20,5 +20,5 @@
 
 @pytest.mark.parametrize(("model", "mistake"), mistake_names())
 def test_model_finds_seeded_mistake(model: str, mistake: str) -> None:
-    """Guards against a model that holds whatever the rules are."""
+    """Guards against a model whose checks pass with broken rules."""
     assert violations(check_mistake(model, mistake))
