--- a/packages/core/src/lacewingspar_core/messages.py
+++ b/packages/core/src/lacewingspar_core/messages.py
@@ -93,7 +93,7 @@
 
     Attributes:
         members: Full records, the sender's own first.
-        beats: Updates of members whose full records are known.
+        beats: Updates of members that receivers know already.
         known: Number of routers that the sender considers alive, including
             itself; 0 if `members` lists all of them.
     """
--- a/packages/core/src/lacewingspar_core/suspects.py
+++ b/packages/core/src/lacewingspar_core/suspects.py
@@ -1,9 +1,9 @@
 """Reservations of upstreams for requests suspected of crashing them.
 
 A router reserves an upstream for a suspect and announces the reservation. It
-sends the suspect `SETTLE_SECONDS` later, unless a router of lower rank has
-announced a conflicting run. Two reservations conflict if they have the same
-upstream or the same fingerprint.
+sends the suspect after `SETTLE_SECONDS`, unless a router of lower
+rank has announced a conflicting run. Two reservations conflict if they have the
+same upstream or the same fingerprint.
 
 If announcements arrive within half of that time, two conflicting runs are never
 both sent. Either the later reservation is refused because its router has
