--- a/packages/router/src/lacewingspar_router/components/admission/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission of requests to upstreams by the owners of pools."""
+"""Admission of requests to upstreams by the routers that own their pools."""
 
 import asyncio
 
@@ -9,21 +9,21 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Set up both roles and their periodic work."""
+    """Set up the ingress and owner roles and their periodic tasks."""
     admission = FleetAdmission(app)
     app.register(ADMISSION, admission)
-    app.create_task(_async_tick(admission), "admission tick")
-    app.create_task(_async_report(admission), "report runs")
+    app.create_task(_async_tick_periodically(admission), "admission tick")
+    app.create_task(_async_report_periodically(admission), "report runs")
 
 
-async def _async_tick(admission: FleetAdmission) -> None:
+async def _async_tick_periodically(admission: FleetAdmission) -> None:
     while True:
-        await asyncio.sleep(const.TICK_SECONDS)
+        await asyncio.sleep(const.TICK_INTERVAL_SECONDS)
         admission.tick()
 
 
-async def _async_report(admission: FleetAdmission) -> None:
+async def _async_report_periodically(admission: FleetAdmission) -> None:
     while True:
-        await asyncio.sleep(const.REPORT_INTERVAL_SECONDS)
+        await asyncio.sleep(const.RUN_REPORT_INTERVAL_SECONDS)
         admission.report_runs()
-        admission.report_pools()
+        admission.log_pool_loads()
--- a/packages/router/src/lacewingspar_router/components/admission/const.py
+++ b/packages/router/src/lacewingspar_router/components/admission/const.py
@@ -1,14 +1,15 @@
 """Constants of the admission component."""
 
-# An owner answers each request at once, within a few milliseconds. One that
-# has not answered for this long is down, frozen or cut off.
+# An owner responds to each request within a few milliseconds. One that has not
+# responded after this time is down, frozen or unreachable.
 ASK_TIMEOUT_SECONDS = 0.12
-# A silent owner is tried again, by one request, after this long.
-SUSPECT_SECONDS = 1.0
-# While a request waits, its owner is asked again this often, so that the loss
-# of the owner is found.
-WAIT_CHECK_SECONDS = 0.4
-# Interval of the reports of runs, which repair what lost messages left.
-REPORT_INTERVAL_SECONDS = 1.0
-# Interval at which owners decline what can no longer be in time.
-TICK_SECONDS = 0.1
+# Time after which a single request tries an unresponsive owner again.
+UNRESPONSIVE_OWNER_RETRY_SECONDS = 1.0
+# Interval at which the ingress router asks the owner again about a queued
+# request, to detect the loss of the owner.
+QUEUED_RECHECK_INTERVAL_SECONDS = 0.4
+# Interval of the run reports, which correct the owners' accounting after lost
+# messages.
+RUN_REPORT_INTERVAL_SECONDS = 1.0
+# Interval at which owners decline requests that would miss their deadline.
+TICK_INTERVAL_SECONDS = 0.1
--- a/packages/router/src/lacewingspar_router/components/admission/holder.py
+++ b/packages/router/src/lacewingspar_router/components/admission/holder.py
@@ -1,4 +1,4 @@
-"""Holder role: asks the owners of pools on behalf of callers' requests."""
+"""Ingress role: requests admission from pool owners for callers' requests."""
 
 import asyncio
 import itertools
@@ -25,17 +25,20 @@
 from lacewingspar_router.components.admission import const
 from lacewingspar_router.components.admission.messages import (
     DECISION_MESSAGES,
-    decision_of,
-    message_of,
+    decode_decision,
+    encode_decision,
+    encode_request,
     milliseconds,
-    request_of,
 )
-from lacewingspar_router.components.admission.models import Demand, Grant
-from lacewingspar_router.components.admission.owner import PoolOwner
+from lacewingspar_router.components.admission.models import (
+    Grant,
+    RequestRequirements,
+)
+from lacewingspar_router.components.admission.owner import OwnedPools
 from lacewingspar_router.components.admission.pools import (
+    OwnerSelector,
     Pool,
-    PoolOwners,
-    Pools,
+    PoolSelector,
 )
 from lacewingspar_router.components.peers.models import PEERS, ReceivedMessage
 from lacewingspar_router.components.routing.models import ROUTING
@@ -46,14 +49,14 @@
 
 
 @dataclass(slots=True)
-class _Asked:
-    """A request that waits for a decision.
+class _PendingRequest:
+    """A request that waits for its final admission decision.
 
     Attributes:
         pool: Pool of the request.
-        admission: The request.
+        admission: The admission request.
         owner: Router that was asked.
-        decisions: Decisions that have arrived.
+        decisions: Decisions received from the owner, not yet processed.
     """
 
     pool: Pool
@@ -65,26 +68,26 @@
 
 
 @dataclass(slots=True)
-class _Run:
+class _GrantedRun:
     """A granted request that has not ended.
 
     Attributes:
-        pool: Its pool.
-        admission: The request.
-        upstream_id: Its upstream.
-        owner: Router that keeps account of it.
-        is_read: Whether the first part of the answer has come.
+        pool: Pool that granted the request.
+        admission: The admission request.
+        upstream_id: Upstream that runs the request.
+        owner: Router that accounts for the run.
+        has_first_part: Whether the first chunk of the response has arrived.
     """
 
     pool: Pool
     admission: Admission
     upstream_id: str
     owner: str
-    is_read: bool = False
+    has_first_chunk: bool = False
 
 
 class FleetAdmission:
-    """Admission by the owners of the pools, over the whole fleet.
+    """Admits requests through the pool owners of the whole fleet.
 
     Args:
         app: The application.
@@ -95,54 +98,59 @@
         self._routing = app.get(ROUTING)
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
-        self._pools = Pools(self._routing)
-        self._owners = PoolOwners(app, self._pools)
-        self._own_pools = PoolOwner(app, self._deliver)
-        self._numbers = itertools.count(1)
-        self._asked_by_number: dict[int, _Asked] = {}
-        self._run_by_number: dict[int, _Run] = {}
+        self._pool_selector = PoolSelector(self._routing)
+        self._owner_selector = OwnerSelector(app, self._pool_selector)
+        self._owned_pools = OwnedPools(app, self._deliver_decision)
+        self._request_numbers = itertools.count(1)
+        self._pending_by_number: dict[int, _PendingRequest] = {}
+        self._run_by_number: dict[int, _GrantedRun] = {}
         for message_type in DECISION_MESSAGES:
             self._peers.subscribe(message_type, self._on_decision)
 
     async def async_acquire(
-        self, demand: Demand, excluded: frozenset[str]
+        self, requirements: RequestRequirements, excluded: frozenset[str]
     ) -> Grant:
         """Wait for an upstream; cancelling the call withdraws the request.
 
         Raises:
-            RequestRefusedError: The request is refused; it was not sent.
+            RequestRefusedError: The owner declined the request; it was not
+                sent to an upstream.
         """
-        number = next(self._numbers)
-        pool = self._pools.pool_for(demand.service, demand.shared_parts, number)
-        admission = self._admission(demand, excluded, number)
+        number = next(self._request_numbers)
+        pool = self._pool_selector.pool_for(
+            requirements.service, requirements.shared_parts, number
+        )
+        admission = self._build_admission(requirements, excluded, number)
         while True:
-            asked = _Asked(pool, admission, self._owners.owner(pool))
-            decision = await self._async_decision(asked)
+            pending = _PendingRequest(
+                pool, admission, self._owner_selector.owner_to_ask(pool)
+            )
+            decision = await self._async_request_decision(pending)
             match decision:
                 case Granted():
-                    return self._begin(asked, decision, demand)
+                    return self._record_grant(pending, decision, requirements)
                 case Declined():
-                    raise self._refusal(asked, decision, demand)
+                    raise self._refusal(pending, decision, requirements)
                 case None:
-                    self._withdraw(asked)
-                    self._owners.suspect(asked.owner)
+                    self._withdraw(pending)
+                    self._owner_selector.mark_unresponsive(pending.owner)
                     self._telemetry.count("silent_owners_total")
                     _LOGGER.warning(
-                        "pool owner does not answer; asking the next one",
-                        request_id=demand.request_id,
-                        owner=asked.owner,
+                        "pool owner did not respond; asking the next one",
+                        request_id=requirements.request_id,
+                        owner=pending.owner,
                         service=pool.service,
                         shard=pool.shard,
                     )
 
     def note_first_part(self, grant: Grant) -> None:
-        """Tell that the first part of the answer has come."""
+        """Report to the owner that the first chunk of the response arrived."""
         run = self._run_by_number.get(grant.number)
-        if run is None or run.is_read:
+        if run is None or run.has_first_chunk:
             return
-        run.is_read = True
+        run.has_first_chunk = True
         if run.owner == self._app.life.router_id:
-            self._own_pools.note_first_part(run.pool, run.admission.key)
+            self._owned_pools.note_first_part(run.pool, run.admission.key)
             return
         self._peers.send(
             run.owner,
@@ -156,7 +164,7 @@
         *,
         is_unreachable: bool = False,
     ) -> None:
-        """Tell how the run ended; repeats have no effect."""
+        """Report the end of a run to its owner; repeats have no effect."""
         run = self._run_by_number.pop(grant.number, None)
         if run is None:
             return
@@ -168,24 +176,24 @@
     def report_runs(self) -> None:
         """Report the runs of this router to the owners of their pools.
 
-        A pool that has a new owner learns of the runs in this way.
+        These reports also tell the new owner of a pool about existing runs.
         """
         reported: dict[tuple[Pool, str], list[ReportedRun]] = {}
         for number, run in self._run_by_number.items():
-            self._move(run)
+            self._transfer_to_current_owner(run)
             reported.setdefault((run.pool, run.owner), []).append(
-                self._reported(number, run)
+                self._reported_run(number, run)
             )
         for (pool, owner), runs in reported.items():
             report = RunReport(pool.service, pool.shard, tuple(runs))
             if owner == self._app.life.router_id:
-                self._own_pools.reconcile(self._app.life, report)
+                self._owned_pools.reconcile(self._app.life, report)
             else:
                 self._peers.send(owner, report)
 
-    def _move(self, run: _Run) -> None:
-        """Let the present owner of a pool keep account of a run."""
-        owner = self._owners.present_owner(run.pool)
+    def _transfer_to_current_owner(self, run: _GrantedRun) -> None:
+        """Move the accounting of a run to the current owner of its pool."""
+        owner = self._owner_selector.current_owner(run.pool)
         if owner == run.owner:
             return
         key = run.admission.key
@@ -193,27 +201,29 @@
         run.owner = owner
 
     def tick(self) -> None:
-        """Let the owned pools decline what can no longer be in time."""
-        self._own_pools.tick()
+        """Decline requests of owned pools that would miss their deadline."""
+        self._owned_pools.tick()
 
-    def report_pools(self) -> None:
-        """Write a line about each owned pool."""
-        self._own_pools.report()
+    def log_pool_loads(self) -> None:
+        """Log the load of each owned pool."""
+        self._owned_pools.log_loads()
 
-    async def _async_decision(self, asked: _Asked) -> AdmissionDecision | None:
-        """Return the final decision, or None if the owner is silent."""
-        number = asked.admission.key.number
-        self._asked_by_number[number] = asked
+    async def _async_request_decision(
+        self, pending: _PendingRequest
+    ) -> AdmissionDecision | None:
+        """Return the final decision, or None if the owner does not respond."""
+        number = pending.admission.key.number
+        self._pending_by_number[number] = pending
         is_settled = False
         try:
             while True:
-                self._ask(asked)
+                self._send_request(pending)
                 decision: AdmissionDecision | None
-                async with asyncio.timeout(self._timeout(asked)):
-                    decision = await asked.decisions.get()
-                self._owners.note_answer(asked.owner)
+                async with asyncio.timeout(self._response_timeout(pending)):
+                    decision = await pending.decisions.get()
+                self._owner_selector.mark_responsive(pending.owner)
                 if isinstance(decision, Queued):
-                    decision = await self._async_next_decision(asked)
+                    decision = await self._async_next_decision(pending)
                 if isinstance(decision, Granted | Declined):
                     is_settled = True
                     return decision
@@ -221,39 +231,39 @@
             is_settled = True
             return None
         finally:
-            self._asked_by_number.pop(number, None)
+            self._pending_by_number.pop(number, None)
             if not is_settled:
-                self._withdraw(asked)
+                self._withdraw(pending)
 
     async def _async_next_decision(
-        self, asked: _Asked
+        self, pending: _PendingRequest
     ) -> AdmissionDecision | None:
-        """Return the next decision, or None when it is time to ask again."""
+        """Return the next decision, or None when the recheck is due."""
         try:
-            async with asyncio.timeout(const.WAIT_CHECK_SECONDS):
-                return await asked.decisions.get()
+            async with asyncio.timeout(const.QUEUED_RECHECK_INTERVAL_SECONDS):
+                return await pending.decisions.get()
         except TimeoutError:
             return None
 
-    def _timeout(self, asked: _Asked) -> float | None:
-        if asked.owner == self._app.life.router_id:
+    def _response_timeout(self, pending: _PendingRequest) -> float | None:
+        if pending.owner == self._app.life.router_id:
             return None
         return const.ASK_TIMEOUT_SECONDS
 
-    def _ask(self, asked: _Asked) -> None:
-        admission = asked.admission
-        if asked.owner == self._app.life.router_id:
-            self._own_pools.ask(asked.pool, admission)
+    def _send_request(self, pending: _PendingRequest) -> None:
+        admission = pending.admission
+        if pending.owner == self._app.life.router_id:
+            self._owned_pools.ask(pending.pool, admission)
             return
-        request = request_of(asked.pool, admission, self._app.now())
-        self._peers.send(asked.owner, request)
+        request = encode_request(pending.pool, admission, self._app.now())
+        self._peers.send(pending.owner, request)
 
-    def _withdraw(self, asked: _Asked) -> None:
-        """Tell an owner that a request no longer needs an upstream."""
+    def _withdraw(self, pending: _PendingRequest) -> None:
+        """Tell the owner that a request no longer needs an upstream."""
         self._end_at_owner(
-            asked.owner,
-            asked.pool,
-            asked.admission.key,
+            pending.owner,
+            pending.pool,
+            pending.admission.key,
             RunOutcome.CANCELLED,
             "",
         )
@@ -267,104 +277,123 @@
         unreachable: str,
     ) -> None:
         if owner == self._app.life.router_id:
-            self._own_pools.end(pool, key, outcome, unreachable)
+            self._owned_pools.end(pool, key, outcome, unreachable)
             return
         message = RunEnded(
             pool.service, pool.shard, key.number, outcome, unreachable
         )
         self._peers.send(owner, message)
 
-    def _begin(self, asked: _Asked, granted: Granted, demand: Demand) -> Grant:
+    def _record_grant(
+        self,
+        pending: _PendingRequest,
+        granted: Granted,
+        requirements: RequestRequirements,
+    ) -> Grant:
         number = granted.key.number
-        self._run_by_number[number] = _Run(
-            asked.pool, asked.admission, granted.upstream_id, asked.owner
+        self._run_by_number[number] = _GrantedRun(
+            pending.pool, pending.admission, granted.upstream_id, pending.owner
         )
         _LOGGER.info(
             "request admitted",
-            request_id=demand.request_id,
-            service=demand.service,
-            workspace=demand.workspace,
+            request_id=requirements.request_id,
+            service=requirements.service,
+            workspace=requirements.workspace,
             upstream=granted.upstream_id,
             fetch_from=granted.fetch_from,
-            owner=asked.owner,
-            prompt_tokens=asked.admission.prompt_tokens,
-            output_tokens=demand.output_tokens,
-            waited_ms=milliseconds(self._app.now() - demand.arrived_at),
+            owner=pending.owner,
+            prompt_tokens=pending.admission.prompt_tokens,
+            output_tokens=requirements.output_tokens,
+            waited_ms=milliseconds(self._app.now() - requirements.arrived_at),
             directory_age_ms=milliseconds(self._routing.directory_age_seconds),
         )
         return Grant(
-            number, granted.upstream_id, granted.fetch_from, asked.owner
+            number, granted.upstream_id, granted.fetch_from, pending.owner
         )
 
     def _refusal(
-        self, asked: _Asked, declined: Declined, demand: Demand
+        self,
+        pending: _PendingRequest,
+        declined: Declined,
+        requirements: RequestRequirements,
     ) -> RequestRefusedError:
         self._telemetry.count(
-            "declined_total", service=demand.service, reason=declined.reason
+            "declined_total",
+            service=requirements.service,
+            reason=declined.reason,
         )
         _LOGGER.info(
             "request declined",
-            request_id=demand.request_id,
-            service=demand.service,
-            workspace=demand.workspace,
+            request_id=requirements.request_id,
+            service=requirements.service,
+            workspace=requirements.workspace,
             reason=declined.reason,
             expected_wait_ms=milliseconds(declined.wait_seconds),
             retry_after_ms=milliseconds(declined.retry_after_seconds),
-            owner=asked.owner,
+            owner=pending.owner,
             directory_age_ms=milliseconds(self._routing.directory_age_seconds),
         )
         return RequestRefusedError(
             503,
             declined.reason,
-            f"no upstream of {demand.service} can serve the request in time",
+            f"no upstream of {requirements.service} can respond in time",
             retry_after_seconds=declined.retry_after_seconds,
         )
 
-    def _admission(
-        self, demand: Demand, excluded: frozenset[str], number: int
+    def _build_admission(
+        self,
+        requirements: RequestRequirements,
+        excluded: frozenset[str],
+        number: int,
     ) -> Admission:
         return Admission(
             key=AdmissionKey(self._app.life, number),
-            workspace=demand.workspace,
+            workspace=requirements.workspace,
             data_centre=self._app.settings.data_centre,
-            shared_parts=demand.shared_parts,
-            own_tokens=demand.own_tokens,
-            output_tokens=demand.output_tokens,
-            priority=demand.priority,
-            arrived_at=demand.arrived_at,
-            aim_at=demand.aim_at,
-            deadline_at=demand.deadline_at,
-            identity=demand.identity,
+            shared_parts=requirements.shared_parts,
+            own_tokens=requirements.own_tokens,
+            output_tokens=requirements.output_tokens,
+            priority=requirements.priority,
+            arrived_at=requirements.arrived_at,
+            aim_at=requirements.aim_at,
+            deadline_at=requirements.deadline_at,
+            identity=requirements.identity,
             excluded=excluded,
-            patience_seconds=demand.patience_seconds,
+            patience_seconds=requirements.patience_seconds,
         )
 
-    def _reported(self, number: int, run: _Run) -> ReportedRun:
+    def _reported_run(self, number: int, run: _GrantedRun) -> ReportedRun:
         admission = run.admission
-        left = admission.deadline_at - self._app.now()
+        remaining_seconds = admission.deadline_at - self._app.now()
         return ReportedRun(
             number=number,
             upstream_id=run.upstream_id,
-            unread_tokens=0 if run.is_read else admission.own_tokens,
+            unread_tokens=0 if run.has_first_chunk else admission.own_tokens,
             memory_tokens=admission.prompt_tokens + admission.output_tokens,
-            left_ms=max(0, milliseconds(left)),
+            left_ms=max(0, milliseconds(remaining_seconds)),
         )
 
-    def _deliver(self, service: str, decision: AdmissionDecision) -> None:
-        """Hand a decision of an owned pool to its holder."""
+    def _deliver_decision(
+        self, service: str, decision: AdmissionDecision
+    ) -> None:
+        """Deliver the decision of an owned pool to the ingress router."""
         key = decision.key
         if key.holder == self._app.life:
-            self._receive(self._app.life.router_id, decision)
+            self._enqueue_decision(self._app.life.router_id, decision)
             return
-        self._peers.send(key.holder.router_id, message_of(service, decision))
+        self._peers.send(
+            key.holder.router_id, encode_decision(service, decision)
+        )
 
-    def _receive(self, owner: str, decision: AdmissionDecision) -> None:
-        # A request that has gone elsewhere was withdrawn from this owner.
-        asked = self._asked_by_number.get(decision.key.number)
-        if asked is not None and asked.owner == owner:
-            asked.decisions.put_nowait(decision)
+    def _enqueue_decision(
+        self, owner: str, decision: AdmissionDecision
+    ) -> None:
+        # Ignore late decisions of owners from which the request was withdrawn.
+        pending = self._pending_by_number.get(decision.key.number)
+        if pending is not None and pending.owner == owner:
+            pending.decisions.put_nowait(decision)
 
     def _on_decision(self, received: ReceivedMessage) -> None:
-        decision = decision_of(self._app.life, received.message)
+        decision = decode_decision(self._app.life, received.message)
         if decision is not None:
-            self._receive(received.sender.router_id, decision)
+            self._enqueue_decision(received.sender.router_id, decision)
--- a/packages/router/src/lacewingspar_router/components/admission/messages.py
+++ b/packages/router/src/lacewingspar_router/components/admission/messages.py
@@ -1,4 +1,4 @@
-"""Requests and decisions as messages between holders and owners."""
+"""Conversion of admission requests and decisions to and from messages."""
 
 from lacewingspar_core.admission_events import (
     Admission,
@@ -23,14 +23,14 @@
 
 
 def milliseconds(seconds: float) -> int:
-    """Return a time in whole milliseconds."""
+    """Convert seconds to whole milliseconds."""
     return round(seconds * 1000)
 
 
-def request_of(
+def encode_request(
     pool: Pool, admission: Admission, now: float
 ) -> AdmissionRequest:
-    """Return the message that asks for an upstream."""
+    """Return the message that requests admission to a pool."""
     return AdmissionRequest(
         service=pool.service,
         shard=pool.shard,
@@ -49,16 +49,16 @@
     )
 
 
-def admission_of(
+def decode_request(
     holder: RouterLife, data_centre: str, request: AdmissionRequest, now: float
 ) -> Admission:
-    """Return the request that a message asks for.
+    """Return the admission request that a message contains.
 
     Args:
-        holder: Sender of the message.
-        data_centre: Its data centre.
+        holder: Router that sent the message.
+        data_centre: Data centre of the sender.
         request: The message.
-        now: Time of the receiver in seconds.
+        now: Time in seconds on the receiver's clock.
     """
     return Admission(
         key=AdmissionKey(holder, request.number),
@@ -77,8 +77,10 @@
     )
 
 
-def message_of(service: str, decision: AdmissionDecision) -> AnyPeerMessage:
-    """Return the message that carries a decision."""
+def encode_decision(
+    service: str, decision: AdmissionDecision
+) -> AnyPeerMessage:
+    """Return the message that contains a decision."""
     number = decision.key.number
     match decision:
         case Granted(_, upstream_id, fetch_from):
@@ -95,10 +97,10 @@
             )
 
 
-def decision_of(
+def decode_decision(
     holder: RouterLife, message: AnyPeerMessage
 ) -> AdmissionDecision | None:
-    """Return the decision that a message carries, or None for others."""
+    """Return the decision in a message, or None for other messages."""
     match message:
         case AdmissionGranted():
             return Granted(
--- a/packages/router/src/lacewingspar_router/components/admission/models.py
+++ b/packages/router/src/lacewingspar_router/components/admission/models.py
@@ -9,24 +9,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
-    """What a request needs.
+class RequestRequirements:
+    """Resources and times that a request needs.
+
+    Times are in seconds on the application's clock.
 
     Attributes:
-        request_id: Identity of the request, for the log.
-        service: Service that serves it.
+        request_id: Identifier of the request in the log.
+        service: Service that serves the request.
         workspace: Workspace of the caller, or "".
         shared_parts: Parts of the prompt that other requests may share.
-        own_tokens: Further tokens of the prompt.
-        output_tokens: Expected tokens of the answer.
-        priority: Rank of the route; 0 is the most urgent.
-        arrived_at: Arrival in seconds of the application's clock.
-        aim_at: Time by which the first part of the answer should be there.
-        deadline_at: Time by which the whole answer must be there.
-        patience_seconds: Time from the arrival after which the caller gives up
-            if the first part is not there.
-        identity: Hash that is the same when the caller sends the request
-            again.
+        own_tokens: Number of prompt tokens outside the shared parts.
+        output_tokens: Expected number of tokens of the response.
+        priority: Priority of the route; 0 is the most urgent.
+        arrived_at: Arrival time of the request.
+        aim_at: Latency target: time at which the first chunk should arrive.
+        deadline_at: Time by which the response must be complete.
+        patience_seconds: Time after arrival at which the caller's first-chunk
+            timeout expires.
+        identity: Hash that stays the same when the caller repeats the
+            request.
     """
 
     request_id: str
@@ -48,10 +50,11 @@
     """Permission to send a request to an upstream.
 
     Attributes:
-        number: Number of the grant in this router's life.
-        upstream_id: The upstream.
-        fetch_from: Upstream to copy shared parts of the prompt from, or "".
-        owner: Router that granted it.
+        number: Number of the request; unique for this router process.
+        upstream_id: Upstream that runs the request.
+        fetch_from: Upstream from which to copy the shared parts of the prompt,
+            or "".
+        owner: Router that granted the request.
     """
 
     number: int
@@ -61,23 +64,24 @@
 
 
 class UpstreamAdmission(Protocol):
-    """Decides which request goes to which upstream, and when."""
+    """Decides when each request is sent, and to which upstream."""
 
     async def async_acquire(
-        self, demand: Demand, excluded: frozenset[str]
+        self, requirements: RequestRequirements, excluded: frozenset[str]
     ) -> Grant:
         """Wait for an upstream; cancelling the call withdraws the request.
 
         Args:
-            demand: What the request needs.
-            excluded: Upstreams that must not be used.
+            requirements: Resources and times that the request needs.
+            excluded: IDs of upstreams that must not be used.
 
         Raises:
-            RequestRefusedError: The request is refused; it was not sent.
+            RequestRefusedError: The owner declined the request; it was not
+                sent to an upstream.
         """
 
     def note_first_part(self, grant: Grant) -> None:
-        """Tell that the first part of the answer has come."""
+        """Report to the owner that the first chunk of the response arrived."""
 
     def end(
         self,
@@ -86,7 +90,7 @@
         *,
         is_unreachable: bool = False,
     ) -> None:
-        """Tell how the run ended; repeats have no effect."""
+        """Report the end of a run to its owner; repeats have no effect."""
 
 
 ADMISSION: ComponentKey[UpstreamAdmission] = ComponentKey("admission")
--- a/packages/router/src/lacewingspar_router/components/admission/owner.py
+++ b/packages/router/src/lacewingspar_router/components/admission/owner.py
@@ -1,4 +1,4 @@
-"""Owner role: decides for the pools that this router owns."""
+"""Owner role: decides on the requests to pools that this router owns."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 from lacewingspar_core.pool_admission import PoolAdmission
 from lacewingspar_core.upstream_load import ActiveRun
 from lacewingspar_router.application import Application
-from lacewingspar_router.components.admission.messages import admission_of
+from lacewingspar_router.components.admission.messages import decode_request
 from lacewingspar_router.components.admission.pools import Pool, pool_members
 from lacewingspar_router.components.peers.models import PEERS, ReceivedMessage
 from lacewingspar_router.components.routing.models import ROUTING
@@ -28,28 +28,28 @@
 
 _LOGGER = structlog.get_logger(__name__)
 
-Deliver = Callable[[str, AdmissionDecision], None]
+DeliverDecision = Callable[[str, AdmissionDecision], None]
 
 
-class PoolOwner:
-    """Admission to all pools for which this router is asked.
+class OwnedPools:
+    """Admission state of all pools for which this router receives requests.
 
-    A pool exists from the first request on. It does no harm that a router
-    keeps one which it no longer owns.
+    The state of a pool is created by its first message. It is kept when this
+    router no longer owns the pool, which is harmless.
 
     Args:
         app: The application.
-        deliver: Called with the service and each decision.
+        deliver: Called with the service name and each decision.
     """
 
-    def __init__(self, app: Application, deliver: Deliver) -> None:
+    def __init__(self, app: Application, deliver: DeliverDecision) -> None:
         self._app = app
         self._deliver_decision = deliver
         self._routing = app.get(ROUTING)
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
         self._admission_by_pool: dict[Pool, PoolAdmission] = {}
-        self._known_lives: set[RouterLife] = set()
+        self._known_instances: set[RouterLife] = set()
         self._peers.subscribe(AdmissionRequest, self._on_request)
         self._peers.subscribe(RunStarted, self._on_started)
         self._peers.subscribe(RunEnded, self._on_ended)
@@ -58,14 +58,14 @@
         self._routing.add_listener(self._on_routing_changed)
 
     def ask(self, pool: Pool, admission: Admission) -> None:
-        """Decide on a request."""
-        decisions = self._admission(pool).ask(admission, self._app.now())
-        self._deliver(pool, decisions)
+        """Submit an admission request for a decision."""
+        decisions = self._pool_admission(pool).ask(admission, self._app.now())
+        self._deliver_all(pool, decisions)
 
     def note_first_part(self, pool: Pool, key: AdmissionKey) -> None:
-        """Take over that the first part of an answer has come."""
-        admission = self._admission(pool)
-        self._deliver(pool, admission.note_first_part(key, self._app.now()))
+        """Record that the first chunk of a response arrived."""
+        admission = self._pool_admission(pool)
+        self._deliver_all(pool, admission.note_first_part(key, self._app.now()))
 
     def end(
         self,
@@ -74,31 +74,31 @@
         outcome: RunOutcome,
         unreachable: str,
     ) -> None:
-        """Take over how a run ended.
+        """Record the end of a run.
 
         Args:
-            pool: The pool.
-            key: Identity of the run.
-            outcome: How it ended.
+            pool: Pool of the run.
+            key: Key of the admission request.
+            outcome: How the run ended.
             unreachable: Upstream that accepted no connection, or "".
         """
         now = self._app.now()
-        admission = self._admission(pool)
+        admission = self._pool_admission(pool)
         if unreachable:
             admission.note_unreachable(unreachable, now)
-        self._deliver(pool, admission.end(key, outcome, now))
+        self._deliver_all(pool, admission.end(key, outcome, now))
 
     def tick(self) -> None:
-        """Decline what can no longer be served in time."""
+        """Decline requests that would miss their deadline; set the gauges."""
         now = self._app.now()
         for pool, admission in self._admission_by_pool.items():
-            self._deliver(pool, admission.tick(now))
+            self._deliver_all(pool, admission.tick(now))
             labels = {"service": pool.service, "shard": str(pool.shard)}
             self._telemetry.gauge("pool_waiting", admission.waiting, **labels)
             self._telemetry.gauge("pool_running", admission.running, **labels)
 
-    def report(self) -> None:
-        """Write a line about each pool that has decided since the last one."""
+    def log_loads(self) -> None:
+        """Log the load of each pool that has decided since the last call."""
         for pool, admission in self._admission_by_pool.items():
             granted, declined = (
                 admission.granted.total,
@@ -118,13 +118,13 @@
                 declined_by_workspace=admission.declined.take_largest(),
             )
 
-    def _admission(self, pool: Pool) -> PoolAdmission:
+    def _pool_admission(self, pool: Pool) -> PoolAdmission:
         admission = self._admission_by_pool.get(pool)
         if admission is None:
             admission = PoolAdmission(f"{pool.service}/{pool.shard}")
             self._admission_by_pool[pool] = admission
             _LOGGER.info(
-                "pool taken over",
+                "admission for pool started",
                 service=pool.service,
                 shard=pool.shard,
                 upstreams=len(pool_members(self._routing, pool)),
@@ -149,9 +149,11 @@
         decisions = admission.set_upstreams(
             pool_members(self._routing, pool), service, rate, self._app.now()
         )
-        self._deliver(pool, decisions)
+        self._deliver_all(pool, decisions)
 
-    def _deliver(self, pool: Pool, decisions: list[AdmissionDecision]) -> None:
+    def _deliver_all(
+        self, pool: Pool, decisions: list[AdmissionDecision]
+    ) -> None:
         for decision in decisions:
             self._deliver_decision(pool.service, decision)
 
@@ -160,25 +162,27 @@
             self._set_upstreams(pool, admission)
 
     def _on_peers_changed(self) -> None:
-        lives = {
+        instances = {
             record.life for record in self._peers.alive_by_router_id.values()
         }
         now = self._app.now()
-        for life in self._known_lives - lives:
-            _LOGGER.warning("router gone", router_id=life.router_id)
+        for life in self._known_instances - instances:
+            _LOGGER.warning(
+                "peer router is no longer alive", router_id=life.router_id
+            )
             for pool, admission in self._admission_by_pool.items():
-                self._deliver(pool, admission.forget_holder(life, now))
-        for life in lives - self._known_lives:
-            _LOGGER.info("router known", router_id=life.router_id)
-        self._known_lives = lives
+                self._deliver_all(pool, admission.forget_holder(life, now))
+        for life in instances - self._known_instances:
+            _LOGGER.info("peer router discovered", router_id=life.router_id)
+        self._known_instances = instances
 
     def _on_request(self, received: ReceivedMessage) -> None:
         request = received.message
         assert isinstance(request, AdmissionRequest)
         if not self._routing.is_ready:
-            # Without an answer the holder asks the next router.
+            # The ingress router times out and asks the next router.
             return
-        admission = admission_of(
+        admission = decode_request(
             received.sender, received.data_centre, request, self._app.now()
         )
         self.ask(Pool(request.service, request.shard), admission)
@@ -207,7 +211,7 @@
         self.reconcile(received.sender, report)
 
     def reconcile(self, holder: RouterLife, report: RunReport) -> None:
-        """Take over the runs that a holder reports."""
+        """Update the recorded runs of an ingress router to match its report."""
         now = self._app.now()
         runs = [
             ActiveRun(
@@ -221,5 +225,5 @@
             for run in report.runs
         ]
         pool = Pool(report.service, report.shard)
-        decisions = self._admission(pool).reconcile(holder, runs, now)
-        self._deliver(pool, decisions)
+        decisions = self._pool_admission(pool).reconcile(holder, runs, now)
+        self._deliver_all(pool, decisions)
--- a/packages/router/src/lacewingspar_router/components/admission/pools.py
+++ b/packages/router/src/lacewingspar_router/components/admission/pools.py
@@ -1,4 +1,4 @@
-"""Pools of upstreams, and the routers that own them."""
+"""Selection of the pool of a request and of the router that owns it."""
 
 from dataclasses import dataclass
 
@@ -22,8 +22,8 @@
     """A shard of the upstreams of one service.
 
     Attributes:
-        service: The service.
-        shard: Number of the shard.
+        service: Name of the service.
+        shard: Number of the shard, from 0.
     """
 
     service: str
@@ -31,7 +31,7 @@
 
 
 def pool_members(routing: RoutingView, pool: Pool) -> dict[str, UpstreamEntry]:
-    """Return the upstreams of a pool that take new work, by id."""
+    """Return the upstreams of a pool that accept requests, by ID."""
     usable = routing.directory.usable(pool.service)
     shards = shard_count(len(usable))
     return {
@@ -41,11 +41,11 @@
     }
 
 
-class Pools:
-    """Chooses the pool of a request.
+class PoolSelector:
+    """Selects the pool for a request.
 
     Args:
-        routing: Configuration and upstreams as this router knows them.
+        routing: Configuration and upstreams known to this router.
     """
 
     def __init__(self, routing: RoutingView) -> None:
@@ -62,9 +62,9 @@
     ) -> Pool:
         """Return the pool for a request.
 
-        Requests that share parts of their prompts go to the same pool; others
-        are spread by their number. Each pool gets requests in proportion to
-        its upstreams.
+        Requests with the same shared prompt parts go to the same pool; other
+        requests are distributed by number. Each pool gets requests in
+        proportion to its number of upstreams.
         """
         weights = self._weights(service)
         if len(weights) == 1:
@@ -85,79 +85,87 @@
         return weights
 
 
-class PoolOwners:
-    """Chooses the owner of a pool among the routers that answer.
+class OwnerSelector:
+    """Selects the owner of a pool from the responsive routers.
 
     Args:
         app: The application.
-        pools: Pools of each service.
+        pool_selector: Gives the number of pools of each service.
     """
 
-    def __init__(self, app: Application, pools: Pools) -> None:
+    def __init__(self, app: Application, pool_selector: PoolSelector) -> None:
         self._app = app
-        self._pools = pools
+        self._pool_selector = pool_selector
         self._own_id = app.life.router_id
         self._peers = app.get(PEERS)
-        self._suspected_until: dict[str, float] = {}
+        self._unresponsive_until: dict[str, float] = {}
         self._owner_by_pool: dict[Pool, str] = {}
-        # Time at which the next suspicion ends and owners may change.
+        # Time at which the next unresponsive router may be tried again, which
+        # can change owners.
         self._owners_valid_until = float("inf")
         self._peers.add_listener(self._owner_by_pool.clear)
         app.get(ROUTING).add_listener(self._owner_by_pool.clear)
 
-    def owner(self, pool: Pool) -> str:
-        """Return the router to ask, which may be this one.
+    def owner_to_ask(self, pool: Pool) -> str:
+        """Return the ID of the router to ask, which may be this one.
 
-        A router whose time of suspicion has passed is tried by one request
-        before the others follow.
+        When the retry time of an unresponsive router has passed, the first
+        request is sent to it; the others use the next router until it
+        responds.
         """
-        chosen = self.present_owner(pool)
-        if chosen in self._suspected_until:
-            self.suspect(chosen, const.ASK_TIMEOUT_SECONDS)
+        chosen = self.current_owner(pool)
+        if chosen in self._unresponsive_until:
+            self.mark_unresponsive(chosen, const.ASK_TIMEOUT_SECONDS)
         return chosen
 
-    def present_owner(self, pool: Pool) -> str:
-        """Return the first router for a pool that is not suspected."""
+    def current_owner(self, pool: Pool) -> str:
+        """Return the owner of a pool, leaving out unresponsive routers."""
         now = self._app.now()
         if now >= self._owners_valid_until:
-            self._forget_owners(now)
+            self._clear_owners(now)
         owner = self._owner_by_pool.get(pool)
         if owner is None:
             owner = self._choose_owner(pool, now)
             self._owner_by_pool[pool] = owner
         return owner
 
-    def suspect(
-        self, router_id: str, seconds: float = const.SUSPECT_SECONDS
+    def mark_unresponsive(
+        self,
+        router_id: str,
+        seconds: float = const.UNRESPONSIVE_OWNER_RETRY_SECONDS,
     ) -> None:
-        """Ask others instead of a router for some time."""
+        """Leave a router out of the selection for some time."""
         if router_id != self._own_id:
             now = self._app.now()
-            self._suspected_until[router_id] = now + seconds
-            self._forget_owners(now)
+            self._unresponsive_until[router_id] = now + seconds
+            self._clear_owners(now)
 
-    def note_answer(self, router_id: str) -> None:
-        """Take over that a router has answered."""
-        if self._suspected_until.pop(router_id, None) is not None:
-            self._forget_owners(self._app.now())
+    def mark_responsive(self, router_id: str) -> None:
+        """Record that a router responded."""
+        if self._unresponsive_until.pop(router_id, None) is not None:
+            self._clear_owners(self._app.now())
 
     def _choose_owner(self, pool: Pool, now: float) -> str:
         capacity_by_router_id = {
             router_id: record.capacity
             for router_id, record in self._peers.alive_by_router_id.items()
             if record.state.is_serving
-            and now >= self._suspected_until.get(router_id, 0.0)
+            and now >= self._unresponsive_until.get(router_id, 0.0)
         }
-        # Runs may be left in a pool that exists no longer.
-        shards = max(pool.shard + 1, self._pools.shards(pool.service))
+        # Runs may remain in a pool whose shard no longer exists.
+        shards = max(pool.shard + 1, self._pool_selector.shards(pool.service))
         candidates = capable_routers(capacity_by_router_id)
         owners = owners_of(pool.service, shards, candidates)
         return owners[pool.shard] if owners else self._own_id
 
-    def _forget_owners(self, now: float) -> None:
-        """Choose owners anew, as suspicions have begun or ended."""
+    def _clear_owners(self, now: float) -> None:
+        """Discard the cached owners and set the time of their next change."""
         self._owner_by_pool.clear()
         self._owners_valid_until = min(
-            (until for until in self._suspected_until.values() if until > now),
+            (
+                until
+                for until in self._unresponsive_until.values()
+                if until > now
+            ),
             default=float("inf"),
         )
--- a/packages/router/src/lacewingspar_router/components/forwarding/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/__init__.py
@@ -8,7 +8,9 @@
 from lacewingspar_router.components.forwarding import const
 from lacewingspar_router.components.forwarding.handler import CallHandler
 from lacewingspar_router.components.forwarding.load_monitor import LoadMonitor
-from lacewingspar_router.components.forwarding.readiness import ReadinessPage
+from lacewingspar_router.components.forwarding.readiness import (
+    MonitoringHandler,
+)
 from lacewingspar_router.components.routing.models import (
     ROUTING,
     RoutingView,
@@ -20,18 +22,20 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Serve callers, the load balancer and monitoring."""
+    """Start the servers for callers, readiness checks and metrics."""
     settings = app.settings
     assert settings.platform is not None
     routing = app.get(ROUTING)
     handler = CallHandler(app)
-    callers = Http1Server(handler.async_handle, app.now, handler.entry.screen)
+    callers = Http1Server(
+        handler.async_handle, app.now, handler.load_shedder.refuse_early
+    )
     callers.most_connections = round(
         const.CALLER_DESCRIPTOR_FRACTION * settings.platform.descriptor_limit
     )
-    page = ReadinessPage(app)
-    readiness = Http1Server(page.async_handle, app.now)
-    metrics = Http1Server(page.async_handle, app.now)
+    monitoring_handler = MonitoringHandler(app)
+    readiness = Http1Server(monitoring_handler.async_handle, app.now)
+    metrics = Http1Server(monitoring_handler.async_handle, app.now)
     servers = (callers, readiness, metrics)
 
     def apply_limits() -> None:
@@ -61,17 +65,17 @@
     app.on_unload("forwarding", async_unload)
     app.on_cut(async_cut)
     app.create_task(_async_drop_stale(handler), "drop stale connections")
-    monitor = LoadMonitor(app, callers, handler.entry, handler.hand_over)
+    monitor = LoadMonitor(app, callers, handler.load_shedder, handler.hand_over)
     app.create_task(monitor.async_run(), "measure load")
     await callers.async_start(settings.caller_address)
     await readiness.async_start(settings.admin_address)
     await metrics.async_start(settings.platform.metrics_address)
-    # Callers are answered that this router is not ready until then.
+    # Until then the server refuses callers as "not_ready".
     await _async_wait_ready(routing)
 
 
 async def _async_wait_ready(routing: RoutingView) -> None:
-    """Wait until configuration and upstreams are known."""
+    """Wait until the configuration and the upstreams are known."""
     ready = asyncio.Event()
 
     def check() -> None:
@@ -86,22 +90,25 @@
 async def _async_drain(
     app: Application, callers: Http1Server, handler: CallHandler
 ) -> None:
-    """Serve until no more requests come, then finish those under way.
+    """Accept requests for a grace period, then finish those in flight.
 
-    Requests that come later are refused, and not left without an answer.
+    Requests that arrive after the grace period are refused, so that each one
+    gets a response.
     """
     assert app.settings.platform is not None
     grace = app.settings.platform.stop_grace_seconds
     callers.is_closing_connections = True
-    await asyncio.sleep(const.ACCEPT_GRACE_FRACTION * grace)
+    await asyncio.sleep(const.DRAIN_ACCEPT_FRACTION * grace)
     handler.accepts_requests = False
     callers.close_idle()
-    _LOGGER.info("requests under way", count=callers.busy_connections)
+    _LOGGER.info(
+        "waiting for requests in flight", count=callers.busy_connections
+    )
     while callers.busy_connections:  # noqa: ASYNC110
         await asyncio.sleep(0.05)
 
 
 async def _async_drop_stale(handler: CallHandler) -> None:
     while True:
-        await asyncio.sleep(const.IDLE_CHECK_SECONDS)
+        await asyncio.sleep(const.STALE_CONNECTION_CHECK_INTERVAL_SECONDS)
         handler.drop_stale_connections()
--- a/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request, at one upstream."""
+"""A single attempt to serve a request at one upstream."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,20 +25,20 @@
 from lacewingspar_router.http1.exchange import ServerExchange
 from lacewingspar_router.http1.messages import Response, ResponseHead
 
-_FIRST_FAILURE_STATUS = 500
-# These promise that a request has not run. Without the upstream's word for it
-# they are not passed on for requests that must not run twice.
-_PROMISES_OF_NOT_RUN = frozenset({408, 421, 429, 503})
+_MIN_SERVER_ERROR_STATUS = 500
+# Callers take these statuses to mean that the request did not run. They are not
+# relayed unless the upstream also declares that it did not run the request.
+_UNCONFIRMED_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """How an attempt ended.
+    """End of an attempt.
 
     Attributes:
-        result: The result.
-        reason: Reason for the log.
-        response: The whole answer, if it was read and not passed on yet.
+        result: Result of the attempt.
+        reason: Explanation for the log.
+        response: The complete response, if it was read but not relayed yet.
     """
 
     result: AttemptResult
@@ -47,32 +47,33 @@
 
 
 @dataclass(slots=True)
-class Relay:
-    """The caller's side of a request over all its attempts.
+class CallerResponse:
+    """Response to the caller, shared by all attempts at a request.
 
     Attributes:
-        exchange: Exchange with the caller.
-        events: Events of a stream that were passed on.
-        first_part_at: Time of the first part passed on, or None.
+        exchange: HTTP exchange with the caller.
+        events: Stream events that were relayed.
+        first_chunk_at: Time at which the first chunk was relayed, or None.
     """
 
     exchange: ServerExchange
     events: EventSequence = field(default_factory=EventSequence)
-    first_part_at: float | None = None
+    first_chunk_at: float | None = None
 
 
 class Attempt:
-    """Sends a request to one upstream and passes the answer on.
+    """Sends a request to one upstream and relays the response.
 
     Args:
         call: The request.
-        upstream: The upstream.
-        pool: Connections to it.
-        wire: Wire format.
-        relay: The caller's side.
+        upstream: Upstream to send it to.
+        pool: Connections to the upstream.
+        wire_format: Wire format of requests and responses.
+        caller_response: Response to the caller.
         now: Clock in seconds.
-        on_first_part: Called when the first part of an answer has come.
-        may_give_up: Whether a silent upstream may be left for another one.
+        on_first_chunk: Called when the first chunk of the response arrives.
+        can_switch_upstream: Whether to time out on an unresponsive upstream, so
+            that the request is sent to another one.
     """
 
     def __init__(
@@ -80,49 +81,56 @@
         call: Call,
         upstream: UpstreamEntry,
         pool: ConnectionPool,
-        wire: WireFormat,
-        relay: Relay,
+        wire_format: WireFormat,
+        caller_response: CallerResponse,
         now: Callable[[], float],
-        on_first_part: Callable[[], None],
+        on_first_chunk: Callable[[], None],
         *,
-        may_give_up: bool,
+        can_switch_upstream: bool,
     ) -> None:
         self._call = call
         self._upstream = upstream
-        self._pool = pool
-        self._wire = wire
-        self._relay = relay
+        self._connection_pool = pool
+        self._wire_format = wire_format
+        self._caller_response = caller_response
         self._now = now
-        self._on_first_part = on_first_part
-        self._may_give_up = may_give_up
+        self._on_first_chunk = on_first_chunk
+        self._can_switch_upstream = can_switch_upstream
 
     async def async_run(self, fetch_from: str) -> AttemptEnd:
-        """Run the attempt; cancelling it cancels the upstream's work.
+        """Run the attempt; cancelling it aborts the connection to the upstream.
 
         Args:
-            fetch_from: `host:port` to copy parts of the prompt from, or "".
+            fetch_from: `host:port` of the upstream from which to copy the
+                shared parts of the prompt, or "".
         """
         route = self._call.route
-        idle = None if route.may_run_again else const.SINGLE_RUN_IDLE_SECONDS
+        max_idle_seconds = (
+            None
+            if route.may_run_again
+            else const.NON_REPEATABLE_MAX_IDLE_SECONDS
+        )
         try:
-            connection = await self._pool.async_take(idle)
+            connection = await self._connection_pool.async_take(
+                max_idle_seconds
+            )
         except ConnectionFailedError as error:
             return AttemptEnd(AttemptResult.UNREACHABLE, str(error))
-        is_complete = False
+        is_reusable = False
         try:
             connection.send(self._request(fetch_from))
-            end = await self._async_answer(connection)
-            is_complete = end.result not in _BROKEN_RESULTS
+            end = await self._async_receive_response(connection)
+            is_reusable = end.result not in _UNUSABLE_CONNECTION_RESULTS
             return end
         finally:
-            if is_complete:
-                self._pool.give_back(connection)
+            if is_reusable:
+                self._connection_pool.give_back(connection)
             else:
                 connection.abort()
 
     def _request(self, fetch_from: str) -> bytes:
-        resume_after = self._relay.events.last_id
-        return self._wire.upstream_request(
+        resume_after = self._caller_response.events.last_id
+        return self._wire_format.upstream_request(
             self._call,
             self._upstream,
             self._call.deadline_at - self._now(),
@@ -130,101 +138,117 @@
             fetch_from,
         )
 
-    async def _async_answer(self, connection: ClientConnection) -> AttemptEnd:
+    async def _async_receive_response(
+        self, connection: ClientConnection
+    ) -> AttemptEnd:
         try:
-            async with asyncio.timeout(self._silent_limit()):
-                head, facts = await self._async_head(connection)
+            async with asyncio.timeout(self._response_timeout()):
+                head, facts = await self._async_read_matching_head(connection)
             if self._is_stream(head, facts):
-                return await self._async_stream(connection, head)
-            async with asyncio.timeout(self._silent_limit()):
+                return await self._async_relay_stream(connection, head)
+            async with asyncio.timeout(self._response_timeout()):
                 response = await async_read_body(
-                    connection, head, const.LARGEST_ANSWER_BYTES
+                    connection, head, const.MAX_BUFFERED_RESPONSE_BYTES
                 )
         except TimeoutError:
-            return AttemptEnd(AttemptResult.SILENT, "no answer in time")
+            return AttemptEnd(AttemptResult.SILENT, "no response in time")
         except ConnectionBrokenError as error:
             return AttemptEnd(AttemptResult.BROKEN, str(error))
         except (InvalidAnswerError, EventSizeError) as error:
             return AttemptEnd(AttemptResult.INVALID, str(error))
-        return self._judge(response, facts)
+        return self._classify_response(response, facts)
 
-    async def _async_head(
+    async def _async_read_matching_head(
         self, connection: ClientConnection
     ) -> tuple[ResponseHead, AnswerFacts]:
-        """Return the head of the answer to this request.
+        """Return the response head for this request.
 
-        Answers to earlier requests, which came late, are skipped.
+        Late responses to earlier requests on the connection are skipped.
         """
-        for _ in range(const.MOST_STRAY_ANSWERS + 1):
+        for _ in range(const.MAX_STALE_RESPONSES + 1):
             head = await async_read_head(connection)
-            facts = self._wire.read_answer(self._call, self._upstream, head)
+            facts = self._wire_format.read_answer(
+                self._call, self._upstream, head
+            )
             if facts.is_own:
                 return head, facts
-            await async_read_body(connection, head, const.LARGEST_ANSWER_BYTES)
-        raise InvalidAnswerError("answers to other requests only")
+            await async_read_body(
+                connection, head, const.MAX_BUFFERED_RESPONSE_BYTES
+            )
+        raise InvalidAnswerError("received only responses to other requests")
 
-    async def _async_stream(
+    async def _async_relay_stream(
         self, connection: ClientConnection, head: ResponseHead
     ) -> AttemptEnd:
-        """Pass events on as they arrive."""
-        relay = self._relay
+        """Relay events as they arrive."""
+        caller_response = self._caller_response
         sink = _EventSink(self, head)
         await connection.async_pass_body(
-            sink, self._silent_limit(), self._pause_limit()
+            sink, self._response_timeout(), self._stream_pause_timeout()
         )
-        if relay.events.has_partial_event:
-            return AttemptEnd(AttemptResult.BROKEN, "the last event is cut")
-        self._start(head)
-        relay.exchange.finish()
+        if caller_response.events.has_partial_event:
+            return AttemptEnd(
+                AttemptResult.BROKEN, "stream ended inside an event"
+            )
+        self._start_response(head)
+        caller_response.exchange.finish()
         return AttemptEnd(AttemptResult.ANSWERED)
 
-    def pass_part(self, head: ResponseHead, part: bytes) -> bool:
-        """Pass the events on that a part of a stream completes.
+    def relay_chunk(self, head: ResponseHead, part: bytes) -> bool:
+        """Relay the events that a chunk of a stream completes.
 
         Returns:
-            Whether the caller keeps up.
+            Whether the caller can take more data at once.
         """
-        ready = self._relay.events.push(part)
+        ready = self._caller_response.events.push(part)
         if not ready:
             return True
-        self._start(head)
-        return self._relay.exchange.write(ready)
+        self._start_response(head)
+        return self._caller_response.exchange.write(ready)
 
     def note_first_part(self) -> None:
-        """Tell that the first part of the answer has come."""
-        self._on_first_part()
+        """Report that the first chunk of the response arrived."""
+        self._on_first_chunk()
 
     async def async_drain(self) -> None:
-        """Wait until the caller has read enough."""
-        await self._relay.exchange.async_drain()
+        """Wait until the caller can take more data."""
+        await self._caller_response.exchange.async_drain()
 
-    def _start(self, head: ResponseHead) -> None:
-        """Send the head of the answer, that of the first upstream."""
-        relay = self._relay
-        if relay.exchange.is_started:
+    def _start_response(self, head: ResponseHead) -> None:
+        """Send the response head, unless an earlier attempt has sent one."""
+        caller_response = self._caller_response
+        if caller_response.exchange.is_started:
             return
-        relay.first_part_at = self._now()
-        headers = self._wire.answer_headers(head.headers)
-        relay.exchange.start(head.status, headers, length=None)
+        caller_response.first_chunk_at = self._now()
+        headers = self._wire_format.answer_headers(head.headers)
+        caller_response.exchange.start(head.status, headers, length=None)
 
-    def _judge(self, response: Response, facts: AnswerFacts) -> AttemptEnd:
-        """Tell what a whole answer means."""
+    def _classify_response(
+        self, response: Response, facts: AnswerFacts
+    ) -> AttemptEnd:
+        """Map a complete response to the end of the attempt."""
         status = response.status
         if facts.is_wrong_upstream:
-            return AttemptEnd(AttemptResult.WRONG_UPSTREAM, "address reused")
+            return AttemptEnd(
+                AttemptResult.WRONG_UPSTREAM,
+                "address belongs to another upstream",
+            )
         if facts.is_not_run:
             return AttemptEnd(AttemptResult.NOT_RUN, f"status {status}")
         if facts.is_encoded or not facts.is_genuine:
-            return AttemptEnd(AttemptResult.INVALID, "not the upstream's body")
-        if status in _PROMISES_OF_NOT_RUN:
             return AttemptEnd(
-                AttemptResult.INVALID, f"status {status} without a promise"
+                AttemptResult.INVALID, "response is encoded or not sealed"
+            )
+        if status in _UNCONFIRMED_NOT_RUN_STATUSES:
+            return AttemptEnd(
+                AttemptResult.INVALID,
+                f"status {status} not declared as not run",
             )
-        if status >= _FIRST_FAILURE_STATUS:
+        if status >= _MIN_SERVER_ERROR_STATUS:
             return AttemptEnd(
                 AttemptResult.UPSTREAM_FAILURE, f"status {status}", response
             )
-        self._on_first_part()
+        self._on_first_chunk()
         return AttemptEnd(AttemptResult.ANSWERED, "", response)
 
     def _is_stream(self, head: ResponseHead, facts: AnswerFacts) -> bool:
@@ -236,27 +260,28 @@
             and head.status < 300
         )
 
-    def _silent_limit(self) -> float | None:
-        """Return how long the upstream may take to begin its answer."""
-        if not self._may_give_up:
+    def _response_timeout(self) -> float | None:
+        """Return the time limit for the response head and for a whole body."""
+        if not self._can_switch_upstream:
             return None
         return max(
-            const.SILENT_LEAST_SECONDS,
-            const.SILENT_AIM_FACTOR * self._call.route.aim_seconds,
+            const.MIN_RESPONSE_TIMEOUT_SECONDS,
+            const.RESPONSE_TIMEOUT_TARGET_FACTOR * self._call.route.aim_seconds,
         )
 
-    def _pause_limit(self) -> float | None:
-        """Return how long the upstream may pause within its answer."""
-        if not self._may_give_up:
+    def _stream_pause_timeout(self) -> float | None:
+        """Return the longest gap that the upstream may leave in a stream."""
+        if not self._can_switch_upstream:
             return None
         return max(
-            const.PAUSE_LEAST_SECONDS,
-            const.PAUSE_FACTOR * self._call.route.pause_aim_seconds,
+            const.MIN_STREAM_PAUSE_TIMEOUT_SECONDS,
+            const.STREAM_PAUSE_TIMEOUT_FACTOR
+            * self._call.route.pause_aim_seconds,
         )
 
 
 class _EventSink:
-    """Takes the body of a stream."""
+    """Receives the body of a streamed response."""
 
     def __init__(self, attempt: Attempt, head: ResponseHead) -> None:
         self._attempt = attempt
@@ -264,17 +289,17 @@
         self._is_first = True
 
     def write(self, data: bytes) -> bool:
-        """Take a part; return whether more may come at once."""
+        """Relay a chunk; return whether the caller can take more at once."""
         if self._is_first:
             self._is_first = False
             self._attempt.note_first_part()
-        return self._attempt.pass_part(self._head, data)
+        return self._attempt.relay_chunk(self._head, data)
 
     async def async_drain(self) -> None:
-        """Wait until more may come."""
+        """Wait until the caller can take more data."""
         await self._attempt.async_drain()
 
 
-_BROKEN_RESULTS = frozenset(
+_UNUSABLE_CONNECTION_RESULTS = frozenset(
     {AttemptResult.BROKEN, AttemptResult.INVALID, AttemptResult.SILENT}
 )
--- a/packages/router/src/lacewingspar_router/components/forwarding/const.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/const.py
@@ -1,54 +1,56 @@
 """Constants of the forwarding component."""
 
-# Largest answer that is read whole before it is passed on; larger ones would
-# fill the memory of a small VM.
-LARGEST_ANSWER_BYTES = 8 * 1024 * 1024
-# Answers to earlier requests, which come late, that are skipped before the one
-# to the present request; a connection has one request at a time.
-MOST_STRAY_ANSWERS = 4
-# Connections that carry requests which must not run twice are reused only
-# after a short idle time, so that the peer is not about to close them.
-SINGLE_RUN_IDLE_SECONDS = 1.0
-# An upstream that stops work at the deadline needs this long to say so.
-DEADLINE_GRACE_SECONDS = 0.05
-# A router that took a request over may say this much later that the deadline
-# has passed.
-HAND_OVER_GRACE_SECONDS = 0.1
-# A repeatable request whose answer has not begun after this many times its
-# aim, and at least this long, is sent elsewhere.
-SILENT_AIM_FACTOR = 4.0
-SILENT_LEAST_SECONDS = 0.5
-# A stream that pauses for this many times its longest pause in time, and at
-# least this long, goes on elsewhere, before callers give it up.
-PAUSE_FACTOR = 4.0
-PAUSE_LEAST_SECONDS = 1.0
-# A request is tried again only with at least this much time left.
-LEAST_RETRY_SECONDS = 0.1
-# Callers of a router without configuration come back after this long.
-NOT_READY_RETRY_SECONDS = 0.5
+# Largest response body that is buffered before it is relayed; larger ones would
+# exhaust the memory of a small VM.
+MAX_BUFFERED_RESPONSE_BYTES = 8 * 1024 * 1024
+# Late responses to earlier requests that are skipped before the response to the
+# current request. A connection has one request in flight.
+MAX_STALE_RESPONSES = 4
+# Requests that must not run twice reuse only connections that were idle for at
+# most this long, as the peer may be about to close older ones.
+NON_REPEATABLE_MAX_IDLE_SECONDS = 1.0
+# Time that an upstream needs to report that it stopped at the deadline.
+UPSTREAM_DEADLINE_GRACE_SECONDS = 0.05
+# Time after the deadline in which a neighbour may still report that a request
+# handed over to it missed the deadline.
+HAND_OVER_DEADLINE_GRACE_SECONDS = 0.1
+# A repeatable request is sent to another upstream if its response has not
+# started after this multiple of its latency target, and at least the minimum
+# time.
+RESPONSE_TIMEOUT_TARGET_FACTOR = 4.0
+MIN_RESPONSE_TIMEOUT_SECONDS = 0.5
+# A repeatable stream continues at another upstream after a gap of this multiple
+# of its event gap target, and at least the minimum time, before callers abort.
+STREAM_PAUSE_TIMEOUT_FACTOR = 4.0
+MIN_STREAM_PAUSE_TIMEOUT_SECONDS = 1.0
+# A request is retried only if at least this much time remains.
+MIN_RETRY_TIME_LEFT_SECONDS = 0.1
+# Retry-After of refusals that have no better estimate, such as "not_ready".
+DEFAULT_RETRY_AFTER_SECONDS = 0.5
 # Interval at which the delay of the event loop is measured.
-DELAY_SAMPLE_SECONDS = 0.1
-# Part of the descriptors that connections of callers may take before idle ones
-# are closed; upstreams, other routers and files share the rest.
+LOOP_DELAY_SAMPLE_INTERVAL_SECONDS = 0.1
+# Fraction of the file descriptors that caller connections may use before idle
+# ones are closed; upstreams, other routers and files share the rest.
 CALLER_DESCRIPTOR_FRACTION = 0.45
-# Part of the descriptors that connections to other routers may take for
-# requests that are handed over.
+# Fraction of the file descriptors for connections that hand requests over to
+# other routers.
 HAND_OVER_DESCRIPTOR_FRACTION = 0.12
-# Idle connections that are kept to each of these routers. A data centre has
-# some 30, so that they take a few hundredths of the descriptors.
-HAND_OVER_IDLE_CONNECTIONS = 4
-# Interval of the log lines about the load of the router.
-LOAD_LINE_SECONDS = 1.0
-# Callers of a router that is overloaded come back after one to two times this
-# long. Most of their deadlines are some seconds away.
-OVERLOADED_RETRY_SECONDS = 0.8
-# Part of the grace after the signal to stop in which new requests are still
-# taken. The platform goes on sending them until it has asked twice, once a
-# second; a longer time would take streams that cannot end before the kill.
-ACCEPT_GRACE_FRACTION = 0.28
-# A process that has died has closed its listener this long after its
-# connections broke.
+# Idle connections kept to each of these routers. A data centre has about 30
+# routers, so they take a few percent of the descriptors.
+HAND_OVER_MAX_IDLE_CONNECTIONS = 4
+# Interval of the "router load" log lines.
+LOAD_LOG_INTERVAL_SECONDS = 1.0
+# Callers of an overloaded router retry after one to two times this long. Most
+# of their deadlines are a few seconds away.
+OVERLOADED_RETRY_AFTER_SECONDS = 0.8
+# Fraction of the stop grace period in which new requests are still accepted.
+# The platform sends requests until two readiness checks, one second apart, have
+# failed. A longer time would accept streams that cannot end before the platform
+# kills the process.
+DRAIN_ACCEPT_FRACTION = 0.28
+# Time after which a crashed process has closed its listener, counted from the
+# break of its connections.
 CRASH_CHECK_DELAY_SECONDS = 0.02
-# Runs that broke count as suspects of a crash noticed this much later.
-CRASH_MEMORY_SECONDS = 0.5
-IDLE_CHECK_SECONDS = 1.0
+# Time for which a broken run remains a suspect for a crash of its upstream.
+CRASH_SUSPECT_RETENTION_SECONDS = 0.5
+STALE_CONNECTION_CHECK_INTERVAL_SECONDS = 1.0
--- a/packages/router/src/lacewingspar_router/components/forwarding/crash_guard.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash upstreams away from further ones."""
+"""Quarantine of requests that crash upstreams."""
 
 import asyncio
 from collections import Counter
@@ -21,13 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardedRun:
-    """A request that was sent to an upstream.
+    """A run of a request at an upstream, as a possible cause of a crash.
 
     Attributes:
         service: Service of the upstream.
-        upstream_id: The upstream.
+        upstream_id: ID of the upstream.
         fingerprint: Fingerprint of the request.
-        epoch: Number of the upstream's known crashes when it was sent.
+        epoch: Number of known crashes of the upstream when the request was
+            sent.
     """
 
     service: str
@@ -37,11 +38,12 @@
 
 
 class CrashGuard:
-    """Crash records of all services, shared with the other routers.
+    """Detects upstream crashes and refuses the requests that cause them.
 
-    An upstream has crashed if a connection to it breaks and its address
-    refuses the next one. An address that does not answer at all may only be
-    cut off.
+    Crash records are shared with the other routers. An upstream counts as
+    crashed if a connection to it breaks and its address refuses the next
+    connection. If the address does not respond at all, it may just be
+    unreachable.
 
     Args:
         app: The application.
@@ -52,9 +54,9 @@
         self._telemetry = app.get(TELEMETRY)
         self._exchange = CrashExchange(app)
         self._runs_by_upstream: dict[str, Counter[GuardedRun]] = {}
-        self._checked_upstreams: set[str] = set()
+        self._upstreams_being_checked: set[str] = set()
 
-    def mark_of(self, call: Call) -> str:
+    def fingerprint_of(self, call: Call) -> str:
         """Return the fingerprint of a request."""
         request = call.request
         return fingerprint(
@@ -63,55 +65,61 @@
             request.body,
         )
 
-    def check(self, call: Call, mark: str) -> None:
+    def check(self, call: Call, request_fingerprint: str) -> None:
         """Check that a request is not in quarantine.
 
         Raises:
-            RequestRefusedError: The request has crashed upstreams.
+            RequestRefusedError: The request has crashed upstreams and is in
+                quarantine.
         """
         state = self._exchange.known_state(call.service)
         if state is None:
             return
         now = self._app.now()
-        seconds = state.refused_until(mark, now) - now
+        seconds = state.refused_until(request_fingerprint, now) - now
         if seconds > 0:
             self._telemetry.count("quarantined_total", service=call.service)
             raise refusals.quarantined(seconds)
 
-    def begin(self, call: Call, mark: str, upstream_id: str) -> GuardedRun:
-        """Note that a request is sent."""
+    def begin(
+        self, call: Call, request_fingerprint: str, upstream_id: str
+    ) -> GuardedRun:
+        """Record the start of a run."""
         state = self._exchange.known_state(call.service)
         epoch = 0 if state is None else state.epoch(upstream_id)
-        run = GuardedRun(call.service, upstream_id, mark, epoch)
+        run = GuardedRun(call.service, upstream_id, request_fingerprint, epoch)
         self._runs_by_upstream.setdefault(upstream_id, Counter())[run] += 1
         return run
 
     def end(
         self, run: GuardedRun, upstream: UpstreamEntry, *, is_broken: bool
     ) -> None:
-        """Note the end of a run.
+        """Record the end of a run, and check for a crash if it broke.
 
         Args:
             run: The run.
-            upstream: Its upstream.
+            upstream: Upstream of the run.
             is_broken: Whether the connection broke.
         """
         if is_broken:
-            # The other runs of a crash break within moments of this one.
+            # Keep the run as a suspect: a crash breaks all runs of the upstream
+            # at nearly the same time.
             loop = asyncio.get_running_loop()
-            loop.call_later(const.CRASH_MEMORY_SECONDS, self._forget, run)
+            loop.call_later(
+                const.CRASH_SUSPECT_RETENTION_SECONDS, self._discard_run, run
+            )
             self._check_crash(run, upstream)
             return
-        self._forget(run)
+        self._discard_run(run)
 
-    def note_success(self, run: GuardedRun) -> None:
-        """Note that a request was answered completely."""
+    def record_success(self, run: GuardedRun) -> None:
+        """Record that a request got its complete response."""
         state = self._exchange.known_state(run.service)
         if state is not None:
             state.on_success(run.fingerprint, self._app.now())
             self._exchange.publish(state)
 
-    def _forget(self, run: GuardedRun) -> None:
+    def _discard_run(self, run: GuardedRun) -> None:
         runs = self._runs_by_upstream.get(run.upstream_id)
         if runs is None:
             return
@@ -122,9 +130,9 @@
             del self._runs_by_upstream[run.upstream_id]
 
     def _check_crash(self, run: GuardedRun, upstream: UpstreamEntry) -> None:
-        if run.upstream_id in self._checked_upstreams:
+        if run.upstream_id in self._upstreams_being_checked:
             return
-        self._checked_upstreams.add(run.upstream_id)
+        self._upstreams_being_checked.add(run.upstream_id)
         self._app.create_task(
             self._async_check_crash(run, upstream), "check for a crash"
         )
@@ -137,22 +145,24 @@
             connection = await async_connect(upstream.address)
         except ConnectionFailedError as error:
             if isinstance(error.__cause__, ConnectionRefusedError):
-                self._note_crash(run)
+                self._record_crash(run)
         else:
             connection.abort()
         finally:
-            self._checked_upstreams.discard(run.upstream_id)
+            self._upstreams_being_checked.discard(run.upstream_id)
 
-    def _note_crash(self, run: GuardedRun) -> None:
+    def _record_crash(self, run: GuardedRun) -> None:
         runs = self._runs_by_upstream.get(run.upstream_id, Counter())
-        marks = {item.fingerprint for item in runs} | {run.fingerprint}
-        epoch = max([item.epoch for item in runs] + [run.epoch])
+        fingerprints = {suspect.fingerprint for suspect in runs} | {
+            run.fingerprint
+        }
+        epoch = max([suspect.epoch for suspect in runs] + [run.epoch])
         state = self._exchange.state(run.service)
-        state.on_crash(run.upstream_id, epoch, marks, self._app.now())
+        state.on_crash(run.upstream_id, epoch, fingerprints, self._app.now())
         _LOGGER.warning(
             "upstream crashed",
             upstream=run.upstream_id,
             service=run.service,
-            suspects=len(marks),
+            suspects=len(fingerprints),
         )
         self._exchange.publish(state)
--- a/packages/router/src/lacewingspar_router/components/forwarding/entry.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/entry.py
@@ -1,4 +1,4 @@
-"""What a router takes and refuses before a request has a task of its own."""
+"""Refusal of requests that this router or their pool has no room for."""
 
 from lacewingspar_core.entry_limit import EntryLimit
 from lacewingspar_core.recent_declines import RecentDeclines
@@ -10,43 +10,46 @@
     Call,
     CallerIdentity,
 )
-from lacewingspar_router.components.forwarding.records import CallRecords
+from lacewingspar_router.components.forwarding.records import RequestRecorder
 from lacewingspar_router.components.routing.models import ROUTING
 from lacewingspar_router.components.telemetry.models import TELEMETRY
 from lacewingspar_router.errors import RequestRefusedError
 from lacewingspar_router.http1.messages import HttpRequest, Response
 
 
-class Entry:
-    """Limit of the requests under way, and declines that are known already.
+class LoadShedder:
+    """Limits the requests in flight and repeats recent declines of pools.
 
     Attributes:
-        limit: Limit of the requests under way.
-        offered: Requests that arrived since the last report.
-        refused: Requests refused for want of room here since the last report.
+        limit: Limit of the requests in flight.
+        offered: Requests that arrived since the last "router load" log line.
+        refused: Requests refused because of the limit since that line.
 
     Args:
         app: The application.
-        records: Records of requests.
+        recorder: Logs and counts refusals.
     """
 
-    def __init__(self, app: Application, records: CallRecords) -> None:
+    def __init__(self, app: Application, recorder: RequestRecorder) -> None:
         assert app.settings.platform is not None
         self.limit = EntryLimit(app.settings.platform.capacity)
         self.offered = WorkspaceTally()
         self.refused = WorkspaceTally()
         self._app = app
-        self._records = records
+        self._recorder = recorder
         self._routing = app.get(ROUTING)
-        self._wire = app.get(WIRE_FORMAT)
+        self._wire_format = app.get(WIRE_FORMAT)
         self._telemetry = app.get(TELEMETRY)
         self._declines = RecentDeclines(app.random.uniform)
 
-    def screen(self, request: HttpRequest) -> Response | None:
+    def refuse_early(self, request: HttpRequest) -> Response | None:
         """Return the refusal of a request that this router cannot serve.
 
-        A router without room gets many such requests, so they are refused
-        before all of their fields are read.
+        An overloaded router gets many such requests, so they are refused
+        before all of their headers are parsed.
+
+        Returns:
+            The refusal, or None if the request is to be handled normally.
         """
         configuration = self._routing.configuration
         may_refuse = self.limit.is_full or not self._declines.is_empty(
@@ -54,7 +57,7 @@
         )
         if not may_refuse or configuration is None:
             return None
-        identity = self._wire.read_identity(request)
+        identity = self._wire_format.read_identity(request)
         workspace = configuration.workspace_by_key.get(identity.key)
         if workspace is None:
             return None
@@ -62,28 +65,30 @@
         if error is None:
             return None
         self.offered.add(workspace)
-        self._records.note_refusal(error, identity.request_id, workspace, None)
-        return self._wire.refusal(error, identity.request_id)
+        self._recorder.record_refusal(
+            error, identity.request_id, workspace, None
+        )
+        return self._wire_format.refusal(error, identity.request_id)
 
     def begin(self, workspace: str) -> None:
-        """Count a request as under way, until `limit.end`.
+        """Count a request as in flight until `limit.end` is called.
 
         Raises:
-            RequestRefusedError: There is no room for it.
+            RequestRefusedError: The limit is reached.
         """
         self.offered.add(workspace)
         if not self.limit.begin(workspace):
             raise self._overloaded(workspace)
 
-    def note_decline(
+    def record_decline(
         self, call: Call, code: str, retry_after_seconds: float
     ) -> None:
-        """Take over that a request was refused.
+        """Record that a request was declined, if the reason is overload.
 
         Args:
             call: The request.
             code: Code of the refusal.
-            retry_after_seconds: When its caller may come back.
+            retry_after_seconds: Time after which the caller may retry.
         """
         if code == refusals.OVERLOADED:
             self._declines.note(
@@ -96,7 +101,7 @@
     def _known_refusal(
         self, request: HttpRequest, identity: CallerIdentity, workspace: str
     ) -> RequestRefusedError | None:
-        """Return why a request would be refused, without asking its pool."""
+        """Return the expected refusal of a request without asking its pool."""
         if not self.limit.has_room(workspace):
             return self._overloaded(workspace)
         seconds = self._retry_after(request, identity, workspace)
@@ -108,21 +113,23 @@
     def _retry_after(
         self, request: HttpRequest, identity: CallerIdentity, workspace: str
     ) -> float | None:
-        """Return when to come back if the pool has just declined the like."""
+        """Return the retry time if the pool just declined a similar request."""
         route = self._routing.table.match(identity.host, request.path)
         if route is None:
             return None
-        left = route.timeout_seconds
+        remaining_seconds = route.timeout_seconds
         if identity.time_left_seconds is not None:
-            left = min(left, identity.time_left_seconds)
+            remaining_seconds = min(
+                remaining_seconds, identity.time_left_seconds
+            )
         return self._declines.retry_after(
-            workspace, route.name, left, self._app.now()
+            workspace, route.name, remaining_seconds, self._app.now()
         )
 
     def _overloaded(self, workspace: str) -> RequestRefusedError:
         self._telemetry.count("entry_refusals_total")
         self.refused.add(workspace)
-        spread = self._app.random.uniform(1.0, 2.0)
+        jitter = self._app.random.uniform(1.0, 2.0)
         return refusals.router_overloaded(
-            const.OVERLOADED_RETRY_SECONDS * spread
+            const.OVERLOADED_RETRY_AFTER_SECONDS * jitter
         )
--- a/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
@@ -1,4 +1,4 @@
-"""Hands requests over to other routers of the data centre."""
+"""Hand-over of requests to other routers of the data centre."""
 
 import asyncio
 from collections.abc import Callable
@@ -36,14 +36,14 @@
 
 
 class HandOverOutcome(StrEnum):
-    """How a request that was handed over ended.
+    """Outcome of a hand-over.
 
     Attributes:
-        ANSWERED: The answer was passed on.
-        NOT_TAKEN: The other router accepts no connection, or has no room.
-        BROKEN: The connection to it broke.
-        DEADLINE_PASSED: No answer came in time.
-        CANCELLED: The caller has left.
+        ANSWERED: The response was relayed.
+        NOT_TAKEN: The neighbour accepted no connection or refused the request.
+        BROKEN: The connection to the neighbour broke.
+        DEADLINE_PASSED: The response was not complete at the deadline.
+        CANCELLED: The caller disconnected.
     """
 
     ANSWERED = "answered"
@@ -54,79 +54,89 @@
 
 
 class HandOver:
-    """Lets other routers forward what this one has no processor time for.
+    """Hands requests over to neighbours when this router lacks processor time.
 
     Attributes:
-        share: Part of the new requests that is handed over.
+        share: Controls the fraction of new requests to hand over.
 
     Args:
         app: The application.
-        note_refusal: Called with a request, the code of its refusal at another
-            router, and when its caller may come back, in seconds.
+        record_decline: Called when a neighbour's response is a refusal, with
+            the request, the code of the refusal and the time in seconds after
+            which the caller may retry.
     """
 
     def __init__(
-        self, app: Application, note_refusal: Callable[[Call, str, float], None]
+        self,
+        app: Application,
+        record_decline: Callable[[Call, str, float], None],
     ) -> None:
         self.share = HandOverShare()
-        self._note_refusal = note_refusal
+        self._record_decline = record_decline
         self._app = app
-        self._wire = app.get(WIRE_FORMAT)
+        self._wire_format = app.get(WIRE_FORMAT)
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
         assert app.settings.platform is not None
-        self._loads = NeighbourLoads(
+        self._neighbour_loads = NeighbourLoads(
             const.HAND_OVER_DESCRIPTOR_FRACTION
             * app.settings.platform.descriptor_limit
         )
         self._pool_by_address: dict[str, ConnectionPool] = {}
         self._neighbours: list[Neighbour] | None = None
-        self._peers.add_listener(self._forget_neighbours)
+        self._peers.add_listener(self._clear_neighbours)
         self._peers.set_busy_source(lambda: self.share.is_busy)
 
     @property
     def under_way(self) -> int:
-        """Return the number of requests at other routers."""
-        return self._loads.under_way
+        """Return the number of requests in flight at neighbours."""
+        return self._neighbour_loads.under_way
 
     def choose(self, call: Call) -> Neighbour | None:
-        """Return the router that is to forward a request, or None for this one.
+        """Choose the neighbour to hand a request over to.
+
+        A request is handed over at most once.
 
-        A request is handed over once at most.
+        Returns:
+            The neighbour, or None if this router forwards the request itself.
         """
         if call.fields.handed_over_after_seconds is not None:
             return None
         if not self.share.take_next():
             return None
-        return self._loads.choose(self._known_neighbours(), self._app.now())
+        return self._neighbour_loads.choose(
+            self._known_neighbours(), self._app.now()
+        )
 
     async def async_run(
         self, exchange: ServerExchange, call: Call, neighbour: Neighbour
     ) -> bool:
-        """Let a neighbour answer a request.
+        """Hand a request over to a neighbour and relay its response.
 
         Returns:
-            Whether it has answered. If not, the request has not run there, or
-            may run again.
+            Whether the caller got a response. If not, the request did not run
+            or may run again, so this router can forward it.
 
         Raises:
-            RequestRefusedError: Its answer did not come, and the request may
-                have run.
+            RequestRefusedError: The response did not arrive, and the request
+                may have run.
         """
         outcome = HandOverOutcome.CANCELLED
-        self._loads.begin(neighbour.router_id)
-        left = call.deadline_at - self._app.now()
+        self._neighbour_loads.begin(neighbour.router_id)
+        remaining_seconds = call.deadline_at - self._app.now()
         try:
-            async with asyncio.timeout(left + const.HAND_OVER_GRACE_SECONDS):
+            async with asyncio.timeout(
+                remaining_seconds + const.HAND_OVER_DEADLINE_GRACE_SECONDS
+            ):
                 outcome = await self._async_exchange(exchange, call, neighbour)
         except TimeoutError as error:
             outcome = HandOverOutcome.DEADLINE_PASSED
-            self._loads.skip(neighbour.router_id, self._app.now())
+            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
             if not exchange.is_started:
                 raise refusals.deadline_passed(may_have_run=True) from error
         finally:
-            self._loads.end(neighbour.router_id)
-            self._note_end(call, neighbour, outcome)
+            self._neighbour_loads.end(neighbour.router_id)
+            self._record_end(call, neighbour, outcome)
         match outcome:
             case HandOverOutcome.NOT_TAKEN:
                 return False
@@ -140,8 +150,10 @@
                 return True
 
     def drop_stale_connections(self) -> None:
-        """Close connections to routers that are not used any more."""
-        addresses = {item.address for item in self._known_neighbours()}
+        """Close idle connections to neighbours that are no longer used."""
+        addresses = {
+            neighbour.address for neighbour in self._known_neighbours()
+        }
         for address, pool in list(self._pool_by_address.items()):
             pool.drop_stale()
             if pool.is_empty and address not in addresses:
@@ -155,29 +167,35 @@
     async def _async_exchange(
         self, exchange: ServerExchange, call: Call, neighbour: Neighbour
     ) -> HandOverOutcome:
-        """Send a request and pass its answer on."""
+        """Send a request and relay the response."""
         pool = self._pool_by_address.get(neighbour.address)
         if pool is None:
             pool = ConnectionPool(
-                neighbour.address, const.HAND_OVER_IDLE_CONNECTIONS
+                neighbour.address, const.HAND_OVER_MAX_IDLE_CONNECTIONS
             )
             self._pool_by_address[neighbour.address] = pool
         try:
-            connection = await pool.async_take(const.SINGLE_RUN_IDLE_SECONDS)
+            connection = await pool.async_take(
+                const.NON_REPEATABLE_MAX_IDLE_SECONDS
+            )
         except ConnectionFailedError:
-            self._loads.skip(neighbour.router_id, self._app.now())
+            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
             return HandOverOutcome.NOT_TAKEN
-        is_complete = False
+        is_reusable = False
         try:
             waited = self._app.now() - call.arrived_at
-            connection.send(self._wire.router_request(call.request, waited))
+            connection.send(
+                self._wire_format.router_request(call.request, waited)
+            )
             head = await async_read_head(connection)
-            refused = await self._async_relay(exchange, call, connection, head)
-            is_complete = True
+            refused = await self._async_relay_response(
+                exchange, call, connection, head
+            )
+            is_reusable = True
         except (ConnectionBrokenError, InvalidAnswerError) as error:
-            self._loads.skip(neighbour.router_id, self._app.now())
+            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
             _LOGGER.warning(
-                "router that took a request over has failed",
+                "router failed after a request was handed over to it",
                 request_id=call.fields.request_id,
                 neighbour=neighbour.router_id,
                 is_started=exchange.is_started,
@@ -185,31 +203,31 @@
             )
             return HandOverOutcome.BROKEN
         finally:
-            if is_complete:
+            if is_reusable:
                 pool.give_back(connection)
             else:
                 connection.abort()
         if refused is not None:
-            self._loads.skip(neighbour.router_id, self._app.now())
+            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
             return HandOverOutcome.NOT_TAKEN
         return HandOverOutcome.ANSWERED
 
-    async def _async_relay(
+    async def _async_relay_response(
         self,
         exchange: ServerExchange,
         call: Call,
         connection: ClientConnection,
         head: ResponseHead,
     ) -> Response | None:
-        """Pass an answer on, or return the refusal of a router without room."""
+        """Relay a response, or return it if the router refused the request."""
         headers = end_to_end_headers(head.headers, _REPLACED_HEADERS)
         if any(name == b"content-length" for name, _ in head.headers):
             response = await async_read_body(
-                connection, head, const.LARGEST_ANSWER_BYTES
+                connection, head, const.MAX_BUFFERED_RESPONSE_BYTES
             )
-            if refusals.is_of_router(response.status, response.body):
+            if refusals.is_router_refusal(response.status, response.body):
                 return response
-            self._learn_from(call, response)
+            self._record_neighbour_decline(call, response)
             exchange.answer(response.status, headers, response.body)
             return None
         exchange.start(head.status, headers, length=None)
@@ -217,14 +235,14 @@
         exchange.finish()
         return None
 
-    def _learn_from(self, call: Call, response: Response) -> None:
-        """Note the refusal of a request that another router has taken over."""
+    def _record_neighbour_decline(self, call: Call, response: Response) -> None:
+        """Report a neighbour's refusal that has a retry time."""
         seconds = header_value(response.headers, b"retry-after")
         if response.status == _STATUS_REFUSED and seconds is not None:
-            code = refusals.code_of(response.body)
-            self._note_refusal(call, code, float(seconds))
+            code = refusals.refusal_code(response.body)
+            self._record_decline(call, code, float(seconds))
 
-    def _note_end(
+    def _record_end(
         self, call: Call, neighbour: Neighbour, outcome: HandOverOutcome
     ) -> None:
         self._telemetry.count("hand_overs_total", outcome=outcome)
@@ -247,5 +265,5 @@
             )
         return self._neighbours
 
-    def _forget_neighbours(self) -> None:
+    def _clear_neighbours(self) -> None:
         self._neighbours = None
--- a/packages/router/src/lacewingspar_router/components/forwarding/handler.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/handler.py
@@ -1,4 +1,4 @@
-"""Path of a caller's request from its head to its final answer."""
+"""Handling of callers' requests, from the headers to the response."""
 
 import asyncio
 from dataclasses import replace
@@ -18,17 +18,17 @@
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.admission.models import (
     ADMISSION,
-    Demand,
     Grant,
+    RequestRequirements,
 )
 from lacewingspar_router.components.forwarding import const, refusals
 from lacewingspar_router.components.forwarding.attempt import (
     Attempt,
     AttemptEnd,
-    Relay,
+    CallerResponse,
 )
 from lacewingspar_router.components.forwarding.crash_guard import CrashGuard
-from lacewingspar_router.components.forwarding.entry import Entry
+from lacewingspar_router.components.forwarding.entry import LoadShedder
 from lacewingspar_router.components.forwarding.hand_over import HandOver
 from lacewingspar_router.components.forwarding.models import (
     WIRE_FORMAT,
@@ -37,7 +37,7 @@
 )
 from lacewingspar_router.components.forwarding.records import (
     CallProgress,
-    CallRecords,
+    RequestRecorder,
 )
 from lacewingspar_router.components.peers.models import PEERS
 from lacewingspar_router.components.routing.models import ROUTING
@@ -52,7 +52,7 @@
 
 
 class CallHandler:
-    """Answers the requests of callers.
+    """Handles the requests of callers.
 
     Args:
         app: The application.
@@ -64,32 +64,32 @@
         self._app = app
         self._routing = app.get(ROUTING)
         self._admission = app.get(ADMISSION)
-        self._wire = app.get(WIRE_FORMAT)
+        self._wire_format = app.get(WIRE_FORMAT)
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
-        self._bound = RetryBound(
+        self._retry_bound = RetryBound(
             settings.retry_ratio,
             settings.retry_window_seconds,
             settings.retry_allowance,
         )
         self._allowance_by_service: dict[str, RetryAllowance] = {}
         self._pool_by_address: dict[str, ConnectionPool] = {}
-        self._guard = CrashGuard(app)
-        self._records = CallRecords(app)
+        self._crash_guard = CrashGuard(app)
+        self._recorder = RequestRecorder(app)
         self.accepts_requests = True
-        self.entry = Entry(app, self._records)
-        self.hand_over = HandOver(app, self.entry.note_decline)
+        self.load_shedder = LoadShedder(app, self._recorder)
+        self.hand_over = HandOver(app, self.load_shedder.record_decline)
 
     async def async_handle(self, exchange: ServerExchange) -> None:
-        """Answer one request."""
+        """Handle one request."""
         request = exchange.request
         request_id = workspace = ""
         try:
-            fields = self._wire.read_fields(request)
+            fields = self._wire_format.read_fields(request)
             request_id = fields.request_id
             call = self._accept(request, fields)
             workspace = call.workspace
-            self.entry.begin(workspace)
+            self.load_shedder.begin(workspace)
         except RequestRefusedError as error:
             self._refuse(exchange, error, request_id, workspace, None)
             return
@@ -97,12 +97,12 @@
             if not await self._async_hand_over(exchange, call):
                 await self._async_serve(exchange, call)
         finally:
-            self.entry.limit.end(call.workspace)
+            self.load_shedder.limit.end(call.workspace)
 
     async def _async_hand_over(
         self, exchange: ServerExchange, call: Call
     ) -> bool:
-        """Return whether another router has answered a request."""
+        """Hand a request over if needed; return whether it got a response."""
         neighbour = self.hand_over.choose(call)
         if neighbour is None:
             return False
@@ -115,31 +115,31 @@
             return True
 
     async def _async_serve(self, exchange: ServerExchange, call: Call) -> None:
-        """Answer a request that is allowed."""
+        """Forward an accepted request to upstreams and record its end."""
         fields = call.fields
         events = EventSequence(last_id=fields.last_event_id)
         progress = CallProgress(
             call,
-            Relay(exchange, events),
+            CallerResponse(exchange, events),
             AttemptHistory(call.route.may_run_again, call.route.attempt_limit),
         )
         outcome = "cancelled"
         try:
-            outcome = await self._async_run(progress)
+            outcome = await self._async_forward(progress)
         except RequestRefusedError as error:
             outcome = error.code
             if error.retry_after_seconds is not None:
-                self.entry.note_decline(
+                self.load_shedder.record_decline(
                     call, error.code, error.retry_after_seconds
                 )
             self._refuse(
                 exchange, error, fields.request_id, call.workspace, progress
             )
         finally:
-            self._records.note_end(progress, outcome)
+            self._recorder.record_end(progress, outcome)
 
     def drop_stale_connections(self) -> None:
-        """Close connections that are not used any more."""
+        """Close stale connections and those to removed upstreams."""
         self.hand_over.drop_stale_connections()
         addresses = {
             entry.address
@@ -158,10 +158,10 @@
             pool.close()
 
     def _accept(self, request: HttpRequest, fields: CallerFields) -> Call:
-        """Check a request against the configuration in force.
+        """Check a request against the active configuration.
 
         Raises:
-            RequestRefusedError: It is not allowed.
+            RequestRefusedError: The request is not allowed.
         """
         configuration = self._routing.configuration
         if configuration is None or not self._routing.is_ready:
@@ -193,63 +193,75 @@
             configuration_version=configuration.version,
         )
 
-    async def _async_run(self, progress: CallProgress) -> str:
-        """Try upstreams until one has answered.
+    async def _async_forward(self, progress: CallProgress) -> str:
+        """Forward a request until an upstream responds or the deadline passes.
 
         Returns:
-            How the request ended.
+            Outcome of the request.
 
         Raises:
-            RequestRefusedError: No upstream has answered.
+            RequestRefusedError: No upstream responded.
         """
         call = progress.call
-        self._allowance(call.service).note_request(self._app.now())
-        left = call.deadline_at - self._app.now()
+        self._retry_allowance(call.service).note_request(self._app.now())
+        remaining_seconds = call.deadline_at - self._app.now()
         try:
-            async with asyncio.timeout(left + const.DEADLINE_GRACE_SECONDS):
-                return await self._async_attempts(progress)
+            async with asyncio.timeout(
+                remaining_seconds + const.UPSTREAM_DEADLINE_GRACE_SECONDS
+            ):
+                return await self._async_try_upstreams(progress)
         except TimeoutError as error:
-            if progress.relay.exchange.is_started:
+            if progress.caller_response.exchange.is_started:
                 return "cut_at_deadline"
             raise refusals.deadline_passed(
                 may_have_run=progress.history.may_have_run
             ) from error
 
-    async def _async_attempts(self, progress: CallProgress) -> str:
+    async def _async_try_upstreams(self, progress: CallProgress) -> str:
         call, history = progress.call, progress.history
-        demand = self._demand(call)
-        mark = self._guard.mark_of(call)
+        requirements = self._requirements(call)
+        request_fingerprint = self._crash_guard.fingerprint_of(call)
         while True:
-            self._guard.check(call, mark)
-            grant = await self._admission.async_acquire(demand, history.tried)
-            end = await self._async_attempt(progress, grant, mark)
+            self._crash_guard.check(call, request_fingerprint)
+            grant = await self._admission.async_acquire(
+                requirements, history.tried
+            )
+            end = await self._async_attempt(
+                progress, grant, request_fingerprint
+            )
             if end.result is AttemptResult.ANSWERED:
                 if end.response is not None:
-                    self._pass_on(progress.relay.exchange, end.response)
+                    self._send_response(
+                        progress.caller_response.exchange, end.response
+                    )
                 return "answered"
             if self._may_try_again(progress, end):
-                progress.relay.events.drop_partial_event()
-                if progress.relay.exchange.is_started:
-                    demand = self._continued(demand, call)
+                progress.caller_response.events.drop_partial_event()
+                if progress.caller_response.exchange.is_started:
+                    requirements = self._resumed_requirements(
+                        requirements, call
+                    )
                 continue
-            if progress.relay.exchange.is_started:
+            if progress.caller_response.exchange.is_started:
                 return "broken_off"
             if end.response is not None:
-                self._pass_on(progress.relay.exchange, end.response)
+                self._send_response(
+                    progress.caller_response.exchange, end.response
+                )
                 return "upstream_failure"
             raise refusals.attempts_failed(
                 end.result, may_have_run=history.may_have_run
             )
 
     async def _async_attempt(
-        self, progress: CallProgress, grant: Grant, mark: str
+        self, progress: CallProgress, grant: Grant, request_fingerprint: str
     ) -> AttemptEnd:
-        """Run one attempt and report how it ended.
+        """Run one attempt and report its end to admission.
 
         Args:
-            progress: The request.
-            grant: Upstream to use.
-            mark: Fingerprint of the request.
+            progress: The request and its state.
+            grant: Grant for the upstream to use.
+            request_fingerprint: Fingerprint of the request.
         """
         history = progress.history
         entries = self._routing.directory.entry_by_id
@@ -257,21 +269,29 @@
         progress.upstream_id = grant.upstream_id
         outcome = RunOutcome.CANCELLED
         is_unreachable = False
-        # Until it is known better, a request that was cut off may have run.
-        ran_before, history.may_have_run = history.may_have_run, True
+        # If the attempt is cancelled, the request may have run.
+        previously_may_have_run, history.may_have_run = (
+            history.may_have_run,
+            True,
+        )
         try:
             if upstream is None:
-                end = AttemptEnd(AttemptResult.UNREACHABLE, "upstream is gone")
+                end = AttemptEnd(
+                    AttemptResult.UNREACHABLE,
+                    "upstream was removed from the directory",
+                )
             else:
-                end = await self._async_send(progress, grant, upstream, mark)
-            history.may_have_run = ran_before
+                end = await self._async_send(
+                    progress, grant, upstream, request_fingerprint
+                )
+            history.may_have_run = previously_may_have_run
             history.note(end.result, grant.upstream_id)
             outcome = RULE_BY_RESULT[end.result].outcome
             is_unreachable = end.result is AttemptResult.UNREACHABLE
         finally:
             self._admission.end(grant, outcome, is_unreachable=is_unreachable)
         if end.result is not AttemptResult.ANSWERED:
-            self._records.note_failed_attempt(progress, end)
+            self._recorder.record_failed_attempt(progress, end)
         return end
 
     async def _async_send(
@@ -279,23 +299,25 @@
         progress: CallProgress,
         grant: Grant,
         upstream: UpstreamEntry,
-        mark: str,
+        request_fingerprint: str,
     ) -> AttemptEnd:
-        """Send a request and pass its answer on."""
+        """Send a request to an upstream and relay the response."""
         call = progress.call
         attempt = Attempt(
             call,
             upstream,
-            self._pool(upstream.address),
-            self._wire,
-            progress.relay,
+            self._connection_pool(upstream.address),
+            self._wire_format,
+            progress.caller_response,
             self._app.now,
             lambda: self._admission.note_first_part(grant),
-            may_give_up=self._may_give_up(progress.history),
+            can_switch_upstream=self._can_switch_upstream(progress.history),
         )
         entries = self._routing.directory.entry_by_id
         source = entries.get(grant.fetch_from)
-        run = self._guard.begin(call, mark, upstream.upstream_id)
+        run = self._crash_guard.begin(
+            call, request_fingerprint, upstream.upstream_id
+        )
         is_broken = False
         try:
             end = await attempt.async_run(
@@ -303,12 +325,12 @@
             )
             is_broken = end.result is AttemptResult.BROKEN
         finally:
-            self._guard.end(run, upstream, is_broken=is_broken)
+            self._crash_guard.end(run, upstream, is_broken=is_broken)
         if end.result is AttemptResult.ANSWERED:
-            self._guard.note_success(run)
+            self._crash_guard.record_success(run)
         return end
 
-    def _may_give_up(self, history: AttemptHistory) -> bool:
+    def _can_switch_upstream(self, history: AttemptHistory) -> bool:
         return history.may_run_again and history.sent + 1 < history.sent_limit
 
     def _may_try_again(self, progress: CallProgress, end: AttemptEnd) -> bool:
@@ -316,25 +338,25 @@
         now = self._app.now()
         if not history.may_try_again(end.result):
             return False
-        if call.deadline_at - now < const.LEAST_RETRY_SECONDS:
+        if call.deadline_at - now < const.MIN_RETRY_TIME_LEFT_SECONDS:
             return False
         if not history.sent:
             return True
         routers = len(self._peers.alive_by_router_id)
-        if self._allowance(call.service).take(routers, now):
+        if self._retry_allowance(call.service).take(routers, now):
             return True
         self._telemetry.count("retries_denied_total", service=call.service)
         _LOGGER.info(
-            "retry denied by the fleet's bound",
+            "retry denied: fleet-wide retry budget exhausted",
             request_id=call.fields.request_id,
             service=call.service,
             routers=routers,
         )
         return False
 
-    def _demand(self, call: Call) -> Demand:
+    def _requirements(self, call: Call) -> RequestRequirements:
         fields = call.fields
-        return Demand(
+        return RequestRequirements(
             request_id=fields.request_id,
             service=call.service,
             workspace=call.workspace,
@@ -349,19 +371,24 @@
             identity=call.identity,
         )
 
-    def _continued(self, demand: Demand, call: Call) -> Demand:
-        """Return what a stream needs that goes on at another upstream.
+    def _resumed_requirements(
+        self, requirements: RequestRequirements, call: Call
+    ) -> RequestRequirements:
+        """Return the requirements of a stream that continues elsewhere.
 
-        Its caller waits for the next event from now on. With the times of the
-        first one it would be late for the pool, and refused first.
+        The latency target counts from now, as the caller waits for the next
+        event. With the original times the pool would treat the request as late
+        and decline it first.
         """
         now = self._app.now()
         return replace(
-            demand, arrived_at=now, aim_at=now + call.route.aim_seconds
+            requirements, arrived_at=now, aim_at=now + call.route.aim_seconds
         )
 
-    def _pass_on(self, exchange: ServerExchange, response: Response) -> None:
-        headers: RawHeaders = self._wire.answer_headers(response.headers)
+    def _send_response(
+        self, exchange: ServerExchange, response: Response
+    ) -> None:
+        headers: RawHeaders = self._wire_format.answer_headers(response.headers)
         exchange.answer(response.status, headers, response.body)
 
     def _refuse(
@@ -372,20 +399,20 @@
         workspace: str,
         progress: CallProgress | None,
     ) -> None:
-        """Send the final answer to a request that was not served."""
-        self._records.note_refusal(error, request_id, workspace, progress)
+        """Send the refusal of a request, unless its response has started."""
+        self._recorder.record_refusal(error, request_id, workspace, progress)
         if not exchange.is_started:
-            response = self._wire.refusal(error, request_id)
+            response = self._wire_format.refusal(error, request_id)
             exchange.answer(response.status, response.headers, response.body)
 
-    def _allowance(self, service: str) -> RetryAllowance:
+    def _retry_allowance(self, service: str) -> RetryAllowance:
         allowance = self._allowance_by_service.get(service)
         if allowance is None:
-            allowance = RetryAllowance(self._bound)
+            allowance = RetryAllowance(self._retry_bound)
             self._allowance_by_service[service] = allowance
         return allowance
 
-    def _pool(self, address: str) -> ConnectionPool:
+    def _connection_pool(self, address: str) -> ConnectionPool:
         pool = self._pool_by_address.get(address)
         if pool is None:
             pool = self._pool_by_address[address] = ConnectionPool(address)
--- a/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
@@ -1,4 +1,4 @@
-"""Measures what a router has too little of: processor time or descriptors."""
+"""Measurement of the router's load: event loop delay and descriptors."""
 
 import asyncio
 import resource
@@ -8,7 +8,7 @@
 
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.forwarding import const
-from lacewingspar_router.components.forwarding.entry import Entry
+from lacewingspar_router.components.forwarding.entry import LoadShedder
 from lacewingspar_router.components.forwarding.hand_over import HandOver
 from lacewingspar_router.components.telemetry.models import TELEMETRY
 from lacewingspar_router.http1.server import Http1Server
@@ -17,14 +17,15 @@
 
 
 class LoadMonitor:
-    """Writes one line a second about the load of this router.
+    """Logs the load of this router once a second.
 
-    It also lets the limit of requests follow the delay of the event loop.
+    It also adjusts the request limit and the hand-over share to the delay of
+    the event loop.
 
     Args:
         app: The application.
-        callers: Server that accepts the connections of callers.
-        entry: Takes and refuses requests.
+        callers: Server for the connections of callers.
+        load_shedder: Limits the requests in flight.
         hand_over: Hands requests over to other routers.
     """
 
@@ -32,15 +33,15 @@
         self,
         app: Application,
         callers: Http1Server,
-        entry: Entry,
+        load_shedder: LoadShedder,
         hand_over: HandOver,
     ) -> None:
         self._hand_over = hand_over
         self._now = app.now
         self._telemetry = app.get(TELEMETRY)
         self._callers = callers
-        self._entry = entry
-        self._limit = entry.limit
+        self._load_shedder = load_shedder
+        self._limit = load_shedder.limit
         self._is_limited = False
         self._largest_delay_seconds = 0.0
         self._reported_at = app.now()
@@ -48,15 +49,18 @@
         self._reported_processor_seconds = _processor_seconds()
 
     async def async_run(self) -> None:
-        """Measure until cancelled."""
+        """Measure and log the load until cancelled."""
         while True:
-            due_at = self._now() + const.DELAY_SAMPLE_SECONDS
-            await asyncio.sleep(const.DELAY_SAMPLE_SECONDS)
-            self._note_delay(max(0.0, self._now() - due_at))
-            if self._now() >= self._reported_at + const.LOAD_LINE_SECONDS:
-                self._report()
-
-    def _note_delay(self, seconds: float) -> None:
+            due_at = self._now() + const.LOOP_DELAY_SAMPLE_INTERVAL_SECONDS
+            await asyncio.sleep(const.LOOP_DELAY_SAMPLE_INTERVAL_SECONDS)
+            self._record_delay(max(0.0, self._now() - due_at))
+            if (
+                self._now()
+                >= self._reported_at + const.LOAD_LOG_INTERVAL_SECONDS
+            ):
+                self._log_load()
+
+    def _record_delay(self, seconds: float) -> None:
         self._largest_delay_seconds = max(self._largest_delay_seconds, seconds)
         limit = self._limit
         limit.note_delay(seconds)
@@ -67,14 +71,16 @@
             return
         self._is_limited = not self._is_limited
         _LOGGER.info(
-            "requests limited" if self._is_limited else "requests not limited",
+            "request limit reached"
+            if self._is_limited
+            else "below request limit",
             limit=limit.limit,
             under_way=limit.active,
             loop_delay_ms=round(seconds * 1000),
         )
 
-    def _report(self) -> None:
-        """Write the line about the time since the last one."""
+    def _log_load(self) -> None:
+        """Log the load since the last call."""
         now, processor_seconds = self._now(), _processor_seconds()
         accepted = self._callers.accepted_connections
         connections = len(self._callers.connections)
@@ -95,10 +101,10 @@
                 (processor_seconds - self._reported_processor_seconds) * 1000
             ),
             interval_ms=round((now - self._reported_at) * 1000),
-            offered=self._entry.offered.total,
-            offered_by_workspace=self._entry.offered.take_largest(),
-            refused=self._entry.refused.total,
-            refused_by_workspace=self._entry.refused.take_largest(),
+            offered=self._load_shedder.offered.total,
+            offered_by_workspace=self._load_shedder.offered.take_largest(),
+            refused=self._load_shedder.refused.total,
+            refused_by_workspace=self._load_shedder.refused.take_largest(),
         )
         self._reported_at = now
         self._reported_accepted = accepted
@@ -107,16 +113,20 @@
 
 
 def _open_descriptors() -> int:
-    """Return the number of the lowest free descriptor of a socket.
+    """Estimate the number of open file descriptors.
+
+    A new socket gets the lowest free descriptor, so its number is close to the
+    number in use. An exact count would read a directory with one entry for
+    each open descriptor.
 
-    The system hands out the lowest one, so about as many are in use. Counting
-    them would read a directory with one entry for each.
+    Returns:
+        The estimate, or -1 if no descriptor is free.
     """
     try:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             return probe.fileno()
     except OSError as error:
-        _LOGGER.warning("no descriptor is free", reason=str(error))
+        _LOGGER.warning("no free file descriptor", reason=str(error))
         return -1
 
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/models.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/models.py
@@ -1,4 +1,4 @@
-"""What the forwarding component knows of a request, and its wire format."""
+"""Requests of callers and the interface of their wire format."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerIdentity:
-    """Who sends a request.
+    """Headers that identify a request and its caller.
 
     Attributes:
-        request_id: Identity of the request, or "".
+        request_id: Identifier of the request, or "".
         host: Host name in lower case, without a port.
-        key: Key of the caller, or "".
+        key: API key of the caller, or "".
         time_left_seconds: Time that the caller waits, or None.
     """
 
@@ -37,19 +37,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerFields:
-    """What the headers of a request say.
+    """Values parsed from the headers of a request.
 
     Attributes:
-        request_id: Identity of the request, or "".
+        request_id: Identifier of the request, or "".
         host: Host name in lower case, without a port.
-        key: Key of the caller, or "".
+        key: API key of the caller, or "".
         time_left_seconds: Time that the caller waits, or None.
         shared_parts: Parts of the prompt that other requests may share.
-        own_tokens: Further tokens of the prompt.
-        output_tokens: Expected tokens of the answer, or 0 if unknown.
-        last_event_id: Id of the last event that the caller has, or None.
-        handed_over_after_seconds: Time since the request arrived at the router
-            that has handed it over, or None if it came from the caller.
+        own_tokens: Number of prompt tokens outside the shared parts.
+        output_tokens: Expected number of tokens of the response, or 0 if
+            unknown.
+        last_event_id: ID of the last event that the caller received, or None.
+        handed_over_after_seconds: Time between the arrival of the request at
+            another router and its hand-over to this one, or None if it came
+            from the caller.
     """
 
     request_id: str
@@ -67,15 +69,17 @@
 class Call:
     """A request that was accepted for forwarding.
 
+    Times are in seconds on the application's clock.
+
     Attributes:
         request: The request as received.
-        fields: What its headers say.
-        route: Its route.
-        service: Service that serves it.
+        fields: Values parsed from its headers.
+        route: Route that matched the request.
+        service: Service that serves the request.
         workspace: Workspace of the caller, or "" without one.
-        arrived_at: Arrival at the first router, on the application's clock.
-        deadline_at: Latest end of the answer, on the application's clock.
-        configuration_version: Version that the route was taken from.
+        arrived_at: Arrival time at the first router.
+        deadline_at: Time by which the response must be complete.
+        configuration_version: Version of the configuration with the route.
     """
 
     request: HttpRequest
@@ -89,7 +93,7 @@
 
     @property
     def identity(self) -> int:
-        """Return a hash that the request has again when it is sent again."""
+        """Return a hash that stays the same when the request is repeated."""
         digest = xxhash.xxh64(self.fields.host.encode())
         digest.update(self.request.target.encode())
         digest.update(self.request.body)
@@ -98,15 +102,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What the head of an upstream's answer says.
+    """Properties of a response, taken from its head.
 
     Attributes:
-        is_own: Whether it answers this request.
-        is_genuine: Whether the upstream vouches for it.
-        is_not_run: Whether the upstream says that it did not run the request.
-        is_wrong_upstream: Whether another upstream has the address.
-        is_event_stream: Whether the body is a stream of events.
-        is_encoded: Whether the body is not the upstream's own bytes.
+        is_own: Whether it is the response to this request.
+        is_genuine: Whether it has the upstream's seal, which proves that the
+            upstream sent it.
+        is_not_run: Whether the upstream declares that it did not run the
+            request.
+        is_wrong_upstream: Whether the address belongs to another upstream.
+        is_event_stream: Whether the body is an event stream.
+        is_encoded: Whether the body has a content encoding.
     """
 
     is_own: bool
@@ -118,26 +124,26 @@
 
 
 class WireFormat(Protocol):
-    """Headers and answers as callers and upstreams spell them."""
+    """Headers and messages exchanged with callers, upstreams and routers."""
 
     def read_identity(self, request: HttpRequest) -> CallerIdentity:
-        """Return who sends a request; it costs less than all its fields."""
+        """Parse only the identity, which is faster than all headers."""
 
     def read_fields(self, request: HttpRequest) -> CallerFields:
-        """Return what the headers of a request say.
+        """Parse the headers of a request.
 
         Raises:
-            RequestRefusedError: A header that is needed cannot be read.
+            RequestRefusedError: A required header is missing or invalid.
         """
 
     def router_request(
         self, request: HttpRequest, waited_seconds: float
     ) -> bytes:
-        """Return a request as it is handed over to another router.
+        """Encode a request for the hand-over to another router.
 
         Args:
             request: The request.
-            waited_seconds: Time since it arrived.
+            waited_seconds: Time since the request arrived.
         """
 
     def upstream_request(
@@ -148,26 +154,28 @@
         resume_after: int | None,
         fetch_from: str,
     ) -> bytes:
-        """Return a request as it is sent to an upstream.
+        """Encode a request for an upstream.
 
         Args:
             call: The request.
-            upstream: The upstream.
-            time_left_seconds: Time that the upstream may take.
-            resume_after: Last event that the caller has, or None.
-            fetch_from: `host:port` to copy parts of the prompt from, or "".
+            upstream: Upstream to send it to.
+            time_left_seconds: Time until the deadline.
+            resume_after: ID of the last event that the caller received, or
+                None.
+            fetch_from: `host:port` of the upstream from which to copy the
+                shared parts of the prompt, or "".
         """
 
     def read_answer(
         self, call: Call, upstream: UpstreamEntry, head: ResponseHead
     ) -> AnswerFacts:
-        """Return what the head of an answer says."""
+        """Parse the head of a response."""
 
     def answer_headers(self, headers: RawHeaders) -> RawHeaders:
-        """Return the headers of an upstream's answer for the caller."""
+        """Return the headers of an upstream's response to relay."""
 
     def refusal(self, error: RequestRefusedError, request_id: str) -> Response:
-        """Return the answer to a request that was refused or has failed."""
+        """Return the response to a request that was refused or has failed."""
 
 
 WIRE_FORMAT: ComponentKey[WireFormat] = ComponentKey("wire_format")
--- a/packages/router/src/lacewingspar_router/components/forwarding/readiness.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/readiness.py
@@ -1,4 +1,4 @@
-"""Readiness and metrics for the platform's load balancer and monitoring."""
+"""HTTP endpoints for readiness checks and metrics."""
 
 from lacewingspar_router.application import Application, LifeCycle
 from lacewingspar_router.components.routing.models import ROUTING
@@ -6,8 +6,8 @@
 from lacewingspar_router.http1.exchange import ServerExchange
 
 
-class ReadinessPage:
-    """Answers whether this router takes new connections.
+class MonitoringHandler:
+    """Serves `/readyz` for the load balancer and `/metrics` for monitoring.
 
     Args:
         app: The application.
@@ -19,7 +19,7 @@
         self._telemetry = app.get(TELEMETRY)
 
     async def async_handle(self, exchange: ServerExchange) -> None:
-        """Answer one request."""
+        """Handle one request."""
         match exchange.request.path:
             case "/readyz":
                 exchange.answer(200 if self._is_ready() else 503, [], b"")
--- a/packages/router/src/lacewingspar_router/components/forwarding/records.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/records.py
@@ -8,7 +8,7 @@
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.forwarding.attempt import (
     AttemptEnd,
-    Relay,
+    CallerResponse,
 )
 from lacewingspar_router.components.forwarding.models import Call
 from lacewingspar_router.components.routing.models import ROUTING
@@ -20,23 +20,23 @@
 
 @dataclass(slots=True)
 class CallProgress:
-    """What has happened to a request so far.
+    """State of a request that is being forwarded.
 
     Attributes:
         call: The request.
-        relay: The caller's side.
-        history: Its attempts.
-        upstream_id: Upstream of the last attempt.
+        caller_response: Response to the caller.
+        history: Attempts so far.
+        upstream_id: Upstream of the last attempt, or "".
     """
 
     call: Call
-    relay: Relay
+    caller_response: CallerResponse
     history: AttemptHistory
     upstream_id: str = ""
 
 
-class CallRecords:
-    """Writes one line for each decision on a request, and counts it.
+class RequestRecorder:
+    """Logs and counts refusals, failed attempts and ends of requests.
 
     Args:
         app: The application.
@@ -47,20 +47,20 @@
         self._routing = app.get(ROUTING)
         self._telemetry = app.get(TELEMETRY)
 
-    def note_refusal(
+    def record_refusal(
         self,
         error: RequestRefusedError,
         request_id: str,
         workspace: str,
         progress: CallProgress | None,
     ) -> None:
-        """Record a request that this router answers itself.
+        """Record the refusal or failure of a request.
 
         Args:
-            error: Why it was not served.
-            request_id: Its identity, or "" if it could not be read.
-            workspace: Workspace of the caller, or "" if it is not known.
-            progress: What has happened to it, or None if it was not accepted.
+            error: Reason of the refusal.
+            request_id: Identifier of the request, or "" if unknown.
+            workspace: Workspace of the caller, or "" if unknown.
+            progress: State of the request, or None if it was not accepted.
         """
         configuration = self._routing.configuration
         _LOGGER.info(
@@ -79,10 +79,10 @@
         if progress is None:
             self._telemetry.count("requests_total", outcome=error.code)
 
-    def note_failed_attempt(
+    def record_failed_attempt(
         self, progress: CallProgress, end: AttemptEnd
     ) -> None:
-        """Record an attempt that gave no answer to pass on."""
+        """Record an attempt that did not succeed."""
         self._telemetry.count(
             "failed_attempts_total",
             service=progress.call.service,
@@ -95,11 +95,11 @@
             result=end.result,
             reason=end.reason,
             sent=progress.history.sent,
-            directory_age_ms=_ms(self._routing.directory_age_seconds),
+            directory_age_ms=_milliseconds(self._routing.directory_age_seconds),
         )
 
-    def note_end(self, progress: CallProgress, outcome: str) -> None:
-        """Record the end of a request that was accepted."""
+    def record_end(self, progress: CallProgress, outcome: str) -> None:
+        """Record the end of an accepted request."""
         call = progress.call
         seconds = self._now() - call.arrived_at
         first_part_ms = None
@@ -108,9 +108,9 @@
             "requests_total", service=service, outcome=outcome
         )
         self._telemetry.observe("request_seconds", seconds, service=service)
-        if progress.relay.first_part_at is not None:
-            first = progress.relay.first_part_at - call.arrived_at
-            first_part_ms = _ms(first)
+        if progress.caller_response.first_chunk_at is not None:
+            first = progress.caller_response.first_chunk_at - call.arrived_at
+            first_part_ms = _milliseconds(first)
             self._telemetry.observe(
                 "first_part_seconds", first, service=service
             )
@@ -123,11 +123,11 @@
             workspace=call.workspace,
             upstream=progress.upstream_id,
             sent=progress.history.sent,
-            duration_ms=_ms(seconds),
+            duration_ms=_milliseconds(seconds),
             first_part_ms=first_part_ms,
             configuration_version=call.configuration_version,
         )
 
 
-def _ms(seconds: float) -> int:
+def _milliseconds(seconds: float) -> int:
     return round(seconds * 1000)
--- a/packages/router/src/lacewingspar_router/components/forwarding/refusals.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of the forwarding component."""
+"""Refusals and failures that the router reports to callers."""
 
 from http import HTTPStatus
 
@@ -6,46 +6,48 @@
 from lacewingspar_router.components.forwarding import const
 from lacewingspar_router.errors import RequestRefusedError, RunState
 
-# Code of the pools for more demand than upstreams.
+# Code of requests that a pool declined because of overload.
 OVERLOADED = REASON_OVERLOADED
 _NOT_READY = "not_ready"
 _ROUTER_OVERLOADED = "router_overloaded"
 _STOPPING = "stopping"
-# Refusals by which a router leaves a request to others.
-_CODES_OF_ROUTERS = (_NOT_READY, _ROUTER_OVERLOADED, _STOPPING)
+# Codes of refusals after which another router can serve the request.
+_ROUTER_REFUSAL_CODES = (_NOT_READY, _ROUTER_OVERLOADED, _STOPPING)
 
 
-def is_of_router(status: int, body: bytes) -> bool:
-    """Return whether an answer is the refusal of a router without room.
+def is_router_refusal(status: int, body: bytes) -> bool:
+    """Return whether a router refused a request that others can serve.
 
     Args:
-        status: Status of the answer.
-        body: Its body, which begins with the code of a refusal.
+        status: Status of the response.
+        body: Body of the response; that of a refusal starts with its code.
     """
     return (
         status == HTTPStatus.SERVICE_UNAVAILABLE
-        and code_of(body) in _CODES_OF_ROUTERS
+        and refusal_code(body) in _ROUTER_REFUSAL_CODES
     )
 
 
 def not_ready() -> RequestRefusedError:
-    """Return the refusal of a router that knows no configuration yet."""
+    """Return the refusal of a router that has no configuration yet."""
     return RequestRefusedError(
         503,
         _NOT_READY,
         "this router has no configuration yet",
-        retry_after_seconds=const.NOT_READY_RETRY_SECONDS,
+        retry_after_seconds=const.DEFAULT_RETRY_AFTER_SECONDS,
     )
 
 
 def unknown_route() -> RequestRefusedError:
     """Return the refusal of a path without a route."""
-    return RequestRefusedError(404, "unknown_route", "no route has this path")
+    return RequestRefusedError(
+        404, "unknown_route", "no route matches this host and path"
+    )
 
 
 def unknown_key() -> RequestRefusedError:
     """Return the refusal of a caller without a valid key."""
-    return RequestRefusedError(401, "unknown_key", "the key is not valid")
+    return RequestRefusedError(401, "unknown_key", "the key is invalid")
 
 
 def bad_target() -> RequestRefusedError:
@@ -66,66 +68,66 @@
 
 
 def router_overloaded(seconds: float) -> RequestRefusedError:
-    """Return the refusal of a router whose processor is used up."""
+    """Return the refusal of a router that has reached its request limit."""
     return RequestRefusedError(
         503,
         _ROUTER_OVERLOADED,
-        "this router has more requests than it can forward",
+        "this router has reached its limit of requests in flight",
         retry_after_seconds=seconds,
     )
 
 
 def recently_declined(seconds: float) -> RequestRefusedError:
-    """Return the refusal of a request that the pool would decline again."""
+    """Return the refusal of a request like those a pool just declined."""
     return RequestRefusedError(
         503,
         "recently_declined",
-        "requests of this workspace and route were declined a moment ago",
+        "the last request of this workspace on this route was just declined",
         retry_after_seconds=seconds,
     )
 
 
-def code_of(body: bytes) -> str:
-    """Return the code of a refusal, with which its body begins."""
+def refusal_code(body: bytes) -> str:
+    """Return the code at the start of the body of a refusal."""
     return body.partition(b":")[0].decode("latin-1")
 
 
 def deadline_passed(*, may_have_run: bool) -> RequestRefusedError:
-    """Return the answer to a request whose time is over."""
+    """Return the error for a request whose deadline passed."""
     if may_have_run:
         return RequestRefusedError(
             504,
             "deadline_passed",
-            "the upstream has not answered in time",
+            "the upstream did not respond in time",
             run=RunState.UNKNOWN,
         )
     return RequestRefusedError(
         503,
         "deadline_passed",
         "no upstream was free in time",
-        retry_after_seconds=const.NOT_READY_RETRY_SECONDS,
+        retry_after_seconds=const.DEFAULT_RETRY_AFTER_SECONDS,
     )
 
 
 def attempts_failed(reason: str, *, may_have_run: bool) -> RequestRefusedError:
-    """Return the answer to a request that no upstream has served."""
+    """Return the error for a request whose attempts all failed."""
     if may_have_run:
         return RequestRefusedError(
-            502, reason, "the upstream has failed", run=RunState.UNKNOWN
+            502, reason, "the upstream failed", run=RunState.UNKNOWN
         )
     return RequestRefusedError(
         503,
         reason,
-        "no upstream has run the request",
-        retry_after_seconds=const.NOT_READY_RETRY_SECONDS,
+        "no upstream ran the request",
+        retry_after_seconds=const.DEFAULT_RETRY_AFTER_SECONDS,
     )
 
 
 def stopping() -> RequestRefusedError:
-    """Return the refusal of a router that is about to stop."""
+    """Return the refusal of a router that is shutting down."""
     return RequestRefusedError(
         503,
         _STOPPING,
         "this router is shutting down",
-        retry_after_seconds=const.NOT_READY_RETRY_SECONDS,
+        retry_after_seconds=const.DEFAULT_RETRY_AFTER_SECONDS,
     )
--- a/tests/router/deployed/conftest.py
+++ b/tests/router/deployed/conftest.py
@@ -1,4 +1,4 @@
-"""A small deployment in one process: store, upstreams and routers."""
+"""In-process deployment of a store, upstreams and routers."""
 
 import asyncio
 import itertools
@@ -36,13 +36,13 @@
 
 @dataclass(slots=True)
 class Answer:
-    """An answer as the caller has seen it.
+    """Response as received by the caller.
 
     Attributes:
-        status: Status, or 0 without an answer.
+        status: HTTP status, or 0 if no response arrived.
         headers: Headers.
-        body: Body as far as it came.
-        is_complete: Whether its end came.
+        body: Body received so far.
+        is_complete: Whether the end of the body was received.
     """
 
     status: int = 0
@@ -69,7 +69,7 @@
         host: str = HOST,
         **headers: str,
     ) -> Answer:
-        """Send one request on a connection of its own."""
+        """Send one request on a new connection."""
         request_id = headers.pop("x_attempt_id", f"a{next(self.ids)}")
         return await self.send(
             request_bytes(
@@ -85,7 +85,7 @@
         )
 
     async def send(self, data: bytes) -> Answer:
-        """Send bytes and return the answer."""
+        """Send bytes on a new connection and return the response."""
         connection = await async_open_connection(self.address)
         connection.send(data)
         answer = Answer()
@@ -110,7 +110,7 @@
 
 
 class Deployment:
-    """Store, upstreams and routers of one test."""
+    """Starts and stops the store, upstreams and routers of a test."""
 
     def __init__(self, stack: AsyncExitStack) -> None:
         self._stack = stack
@@ -128,7 +128,7 @@
         )
 
     def publish(self, value: dict[str, Any]) -> None:
-        """Write the operators' configuration."""
+        """Write the operators' configuration to the store."""
         data = msgspec.json.encode(value)
         self.store.topic("keyed.op").append("config", data)
 
@@ -146,7 +146,7 @@
     def register(
         self, upstream_id: str, service: str, state: str = "ready"
     ) -> None:
-        """Write the entry of an upstream."""
+        """Write the directory entry of an upstream to the store."""
         entry = upstream_entry(
             service,
             self.upstream_by_id[upstream_id].address,
@@ -158,7 +158,7 @@
         )
 
     async def add_router(self, name: str = "r1", **changes: Any) -> Caller:
-        """Start a router and return a caller of it."""
+        """Start a router and return a caller that uses it."""
         addresses = [self._ports.reserve() for _ in range(4)]
         platform: dict[str, Any] = {"stop_grace_seconds": 2.0}
         settings = Settings(
@@ -193,7 +193,7 @@
 
 @pytest.fixture
 async def served(deployment: Deployment) -> Deployment:
-    """Return a deployment with two upstreams of each service."""
+    """Provide a deployment with two upstreams of each service."""
     deployment.publish(manifest())
     for name in ("e1", "e2"):
         await deployment.add_upstream(name, "engines")
@@ -203,7 +203,7 @@
 
 
 async def until(condition: Callable[[], bool], seconds: float = 5.0) -> None:
-    """Wait for a condition."""
+    """Wait until a condition holds."""
     async with asyncio.timeout(seconds):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
--- a/tests/router/deployed/test_endless_answers.py
+++ b/tests/router/deployed/test_endless_answers.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams that never end."""
+"""Tests of upstream responses that never end."""
 
 import asyncio
 
@@ -7,14 +7,14 @@
 
 from lacewingspar_standins.deployed.upstream import ENDLESS_PARTS
 
-# Part of an endless answer that may be taken: what the router reads before it
-# gives up, and what the buffers of the system hold on the way.
-LARGEST_TAKEN_BYTES = 16 * 1024 * 1024
+# Most bytes of an endless response that the upstream may send: what the router
+# reads before it aborts, and what the socket buffers hold.
+MAX_SENT_BYTES = 16 * 1024 * 1024
 
 
 @pytest.mark.parametrize("path", ["/stream-once/x", "/write/x"])
 @pytest.mark.parametrize("part", sorted(ENDLESS_PARTS))
-async def test_endless_answer_is_given_up_early(
+async def test_endless_answer_is_aborted_early(
     served: Deployment, part: str, path: str
 ) -> None:
     upstreams = served.upstream_by_id.values()
@@ -25,8 +25,8 @@
         answer = await caller.call(path, budget_ms=8000)
     assert answer.status in (200, 502)
     assert not answer.is_complete or answer.status == 502
-    taken = sum(upstream.endless_bytes for upstream in upstreams)
-    assert 0 < taken < LARGEST_TAKEN_BYTES
+    sent = sum(upstream.endless_bytes for upstream in upstreams)
+    assert 0 < sent < MAX_SENT_BYTES
 
 
 async def test_endless_answer_leaves_time_for_another_upstream(
--- a/tests/router/deployed/test_forwarding.py
+++ b/tests/router/deployed/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests through a router, and what upstreams and callers see."""
+"""Tests of forwarding, as seen by callers and upstreams."""
 
 import asyncio
 from typing import Any
@@ -36,7 +36,7 @@
 
 
 async def test_request_and_answer_pass_unchanged(served: Deployment) -> None:
-    """Guards against changed requests, a shown key and a forged workspace."""
+    """Guards against altered requests, leaked keys and forged workspaces."""
     caller = await served.add_router()
     answer = await caller.call(
         "/write/a%20b?c=1",
@@ -87,7 +87,7 @@
 async def test_router_without_configuration_says_so(
     deployment: Deployment,
 ) -> None:
-    """Guards against 401 and 404 from a router that knows nothing yet."""
+    """Guards against 401 and 404 before the configuration is loaded."""
     caller = await deployment.add_router()
     answer = await caller.call("/read/", "GET")
     assert answer.status == 503
@@ -101,22 +101,23 @@
 @pytest.mark.parametrize(
     ("path", "faults", "status", "runs"),
     [
-        # What did not run goes elsewhere, also where it must run once.
+        # A request that did not run is sent to another upstream, even if it
+        # must not run twice.
         ("/write/", NOT_RUN, 200, 1),
         ("/write/", WRONG, 200, 1),
         ("/read/", NOT_RUN, 200, 1),
-        # What may have run is repeated only where that is allowed.
+        # A request that may have run is repeated only if its route allows it.
         ("/write/", {"unframed": True, "reset_unframed": True}, 502, 1),
         ("/read/", {"unframed": True, "reset_unframed": True}, 200, 2),
         ("/write/", {"refuse_silently": True}, 502, 0),
         ("/read/", {"refuse_silently": True}, 200, 1),
         ("/write/", {"no_seal": True}, 502, 1),
         ("/read/", {"encoding": "gzip"}, 200, 2),
-        # The upstream's own failures are passed on.
+        # Error statuses of the upstream itself are relayed.
         ("/write/", {"status": 500}, 500, 1),
         ("/read/", {"status": 500}, 200, 2),
         ("/write/", {"status": 400}, 400, 1),
-        # Framing does not matter.
+        # Unusual framing and extra responses have no effect.
         ("/write/", {"unframed": True}, 200, 1),
         ("/write/", {"extra_answer": True}, 200, 1),
         ("/write/", {"stray_id": True}, 200, 1),
@@ -129,7 +130,7 @@
     status: int,
     runs: int,
 ) -> None:
-    """Guards against second runs, false answers and needless failures."""
+    """Guards against repeated runs, wrong responses and avoidable errors."""
     caller = await served.add_router()
     first = (await caller.call(path)).body.decode().rpartition(" ")[2]
     chosen = served.upstream_by_id[first]
@@ -145,7 +146,7 @@
 
 
 async def test_extra_answers_reach_nobody(served: Deployment) -> None:
-    """Guards against an answer that goes to the next request."""
+    """Guards against a response that is relayed to the next request."""
     caller = await served.add_router()
     for upstream in upstreams(served, "p"):
         upstream.faults.extra_answer = True
@@ -176,7 +177,7 @@
 async def test_resumable_stream_goes_on_elsewhere(
     served: Deployment, after: int, cut_event: bool
 ) -> None:
-    """Guards against missing, doubled and half events."""
+    """Guards against missing, duplicate and partial events."""
     caller = await served.add_router()
     first, second = upstreams(served, "e")
     first.faults.break_after_events = after
@@ -193,7 +194,10 @@
 async def test_stream_that_goes_on_is_not_late_for_its_pool(
     served: Deployment,
 ) -> None:
-    """Guards against streams that end midway since their aim has passed."""
+    """Guards against a continued stream that is declined as late.
+
+    This happens if the latency target counts from the original arrival.
+    """
     caller = await served.add_router()
     first, second = upstreams(served, "e")
     first.pause_seconds = second.pause_seconds = 0.2
@@ -202,7 +206,7 @@
         await caller.call("/stream/1")
     admitted = [line for line in lines if line["event"] == "request admitted"]
     assert len(admitted) == 2
-    # The stream has lasted for three pauses when it goes on.
+    # The stream continues after three gaps of 0.2 s.
     assert admitted[1]["waited_ms"] < 400
 
 
@@ -231,7 +235,7 @@
 async def test_caller_that_leaves_ends_the_run(
     served: Deployment, path: str
 ) -> None:
-    """Guards against upstreams that work for nobody."""
+    """Guards against upstreams that run requests of disconnected callers."""
     caller = await served.add_router()
     for upstream in served.upstream_by_id.values():
         upstream.pause_seconds = 5.0
@@ -259,7 +263,7 @@
 
 
 async def test_silent_upstream_is_left_for_another(served: Deployment) -> None:
-    """Guards against callers that wait for an upstream which hangs."""
+    """Guards against callers that wait for an unresponsive upstream."""
     caller = await served.add_router()
     upstreams(served, "e")[0].faults.mute = True
     for _ in range(3):
@@ -315,7 +319,7 @@
 async def test_unreadable_requests_are_refused(
     served: Deployment, data: bytes, status: int
 ) -> None:
-    """Guards against requests that are smuggled inside others."""
+    """Guards against request smuggling."""
     caller = await served.add_router()
     answer = await caller.send(data)
     assert answer.status == status
@@ -342,11 +346,12 @@
 async def test_load_beyond_the_slots_is_refused_at_once(
     deployment: Deployment,
 ) -> None:
-    """Guards against requests that are held until their callers give up.
+    """Guards against requests that are queued until their callers time out.
 
-    Load: 60 calls at once, of 0.25 s each, for 8 slots. A refusal before the
-    first answer comes within an eighth of the 2.5 s that the callers wait, and
-    that order is the same when the test's process stands still for a moment.
+    Load: 60 concurrent calls of 0.25 s each, for 8 slots. Refusals before the
+    first response arrive within an eighth of the 2.5 s that the callers wait.
+    The test compares the order of events, as it does not change when the test
+    process stalls.
     """
     deployment.publish(manifest())
     await deployment.add_upstream("p1", "plain", pause_seconds=0.25)
@@ -372,9 +377,10 @@
 async def test_declined_workspace_is_not_asked_for_at_once_again(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against routers and owners that are busy with known declines.
+    """Guards against asking the pool again about requests it just declined.
 
-    Load: 60 calls for 8 slots, and one more on the same and on another route.
+    Load: 60 calls for 8 slots, then one more on the same route, which is
+    refused without the pool, and one on another route, which is forwarded.
     """
     monkeypatch.setattr(recent_declines, "QUIET_SECONDS", 60.0)
     routes = [
@@ -401,7 +407,7 @@
 async def test_router_without_room_refuses_what_it_cannot_forward(
     served: Deployment, monkeypatch: pytest.MonkeyPatch, key: str, status: int
 ) -> None:
-    """Guards against refusals that use up the processor they shall spare."""
+    """Guards against expensive refusals by an overloaded router."""
     monkeypatch.setattr(entry_limit, "LEAST_LIMIT", 0)
     monkeypatch.setattr(entry_limit, "REQUESTS_PER_PROCESSOR", 0)
     caller = await served.add_router()
--- a/tests/router/deployed/test_hand_over.py
+++ b/tests/router/deployed/test_hand_over.py
@@ -1,4 +1,4 @@
-"""Requests that a router hands over to another one."""
+"""Tests of requests that a router hands over to a neighbour."""
 
 import asyncio
 
@@ -14,8 +14,8 @@
 from lacewingspar_standins.deployed.documents import request_bytes
 
 
-class _Late(HandOverShare):
-    """Share of a router whose event loop is late."""
+class _FullHandOverShare(HandOverShare):
+    """Hand-over share of an overloaded router: all requests."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,9 +26,11 @@
 
 
 @pytest.fixture
-async def late(served: Deployment, monkeypatch: pytest.MonkeyPatch) -> Caller:
-    """Return a caller of a router that is late beside one that is not."""
-    monkeypatch.setattr(hand_over, "HandOverShare", _Late)
+async def overloaded_caller(
+    served: Deployment, monkeypatch: pytest.MonkeyPatch
+) -> Caller:
+    """Provide a caller of an overloaded router with an idle neighbour."""
+    monkeypatch.setattr(hand_over, "HandOverShare", _FullHandOverShare)
     caller = await served.add_router("r1")
     monkeypatch.undo()
     await served.add_router("r2")
@@ -53,11 +55,15 @@
     ],
 )
 async def test_request_passes_unchanged(
-    served: Deployment, late: Caller, path: str, method: str, body: bytes
+    served: Deployment,
+    overloaded_caller: Caller,
+    path: str,
+    method: str,
+    body: bytes,
 ) -> None:
-    """Guards against a workspace that gets what one entry VM can forward."""
+    """Guards against a workspace limited to the capacity of one entry VM."""
     with structlog.testing.capture_logs() as lines:
-        answer = await late.call(
+        answer = await overloaded_caller.call(
             path, method, body, x_other="kept", x_tenant="forged"
         )
     assert answer.status == 200
@@ -86,12 +92,12 @@
 
 
 async def test_caller_that_leaves_ends_the_run(
-    served: Deployment, late: Caller
+    served: Deployment, overloaded_caller: Caller
 ) -> None:
     engines = [served.upstream_by_id[name] for name in ("e1", "e2")]
     for engine in engines:
         engine.pause_seconds = 0.5
-    connection = await async_open_connection(late.address)
+    connection = await async_open_connection(overloaded_caller.address)
     connection.send(request_bytes("/stream/x", "a-leaves", 3000))
     await until(lambda: any(engine.running for engine in engines))
     connection.abort()
@@ -99,19 +105,19 @@
 
 
 async def test_router_that_is_gone_costs_no_request(
-    served: Deployment, late: Caller
+    served: Deployment, overloaded_caller: Caller
 ) -> None:
     await served.apps[1].async_stop()
-    answers = [await late.call("/write/x") for _ in range(3)]
+    answers = [await overloaded_caller.call("/write/x") for _ in range(3)]
     assert [answer.status for answer in answers] == [200] * 3
 
 
 async def test_stream_of_a_router_that_dies_never_looks_complete(
-    served: Deployment, late: Caller
+    served: Deployment, overloaded_caller: Caller
 ) -> None:
     for name in ("e1", "e2"):
         served.upstream_by_id[name].pause_seconds = 0.2
-    call = asyncio.create_task(late.call("/stream-once/x"))
+    call = asyncio.create_task(overloaded_caller.call("/stream-once/x"))
     engines = [served.upstream_by_id[name] for name in ("e1", "e2")]
     await until(lambda: any(engine.running for engine in engines))
     await asyncio.sleep(0.3)
@@ -124,7 +130,10 @@
 async def test_deadline_counts_from_the_first_arrival(
     served: Deployment,
 ) -> None:
-    """Guards against upstreams that work on for a caller that has left."""
+    """Guards against a deadline that restarts at the hand-over.
+
+    The upstream would continue to run a request whose caller has timed out.
+    """
     caller = await served.add_router()
     answer = await caller.call(
         "/write/x", budget_ms=3000, x_lacewingspar_waited_ms="1000"
--- a/tests/router/deployed/test_load_monitor.py
+++ b/tests/router/deployed/test_load_monitor.py
@@ -1,4 +1,4 @@
-"""Log lines about the load of a router."""
+"""Tests of the log lines about the load of a router."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -15,9 +15,10 @@
 async def test_line_tells_connections_descriptors_and_delay(
     served: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(const, "LOAD_LINE_SECONDS", 0.2)
+    monkeypatch.setattr(const, "LOAD_LOG_INTERVAL_SECONDS", 0.2)
     caller = await served.add_router()
-    # The line about the connections opened below follows one without any.
+    # Let one interval pass, so that the next line counts only the connections
+    # opened below.
     await asyncio.sleep(0.3)
     with structlog.testing.capture_logs() as lines:
         connections = [
@@ -28,7 +29,7 @@
     assert line["event"] == "router load"
     assert line["connections"] == 5
     assert line["under_way"] == 0
-    # Each connection has one descriptor at both of its ends here.
+    # Both ends of each connection use a descriptor of this process.
     assert line["descriptors"] > 10
     assert line["largest_loop_delay_ms"] >= 0
     assert line["processor_ms"] >= 0
@@ -40,15 +41,15 @@
 async def test_lines_name_the_workspaces_that_are_refused_and_granted(
     served: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(const, "LOAD_LINE_SECONDS", 0.2)
+    monkeypatch.setattr(const, "LOAD_LOG_INTERVAL_SECONDS", 0.2)
     caller = await served.add_router()
     with structlog.testing.capture_logs() as lines:
         answer = await caller.call(
             "/stream/x", x_token_counts="100,20", x_length_hint="20"
         )
         assert answer.status == 200
-        await until(lambda: _has(lines, "router load", offered=1))
-        await until(lambda: _has(lines, "pool load", granted_cost=140))
+        await until(lambda: _has_line(lines, "router load", offered=1))
+        await until(lambda: _has_line(lines, "pool load", granted_cost=140))
     (load,) = [line for line in lines if line.get("offered") == 1]
     assert load["offered_by_workspace"] == {"alpha": 1}
     assert load["refused"] == 0
@@ -61,7 +62,9 @@
     assert admitted["output_tokens"] == 20
 
 
-def _has(lines: Sequence[Mapping[str, Any]], event: str, **fields: int) -> bool:
+def _has_line(
+    lines: Sequence[Mapping[str, Any]], event: str, **fields: int
+) -> bool:
     return any(
         line["event"] == event and fields.items() <= line.items()
         for line in lines
--- a/tests/router/deployed/test_pools.py
+++ b/tests/router/deployed/test_pools.py
@@ -1,4 +1,4 @@
-"""Choice of the router that owns a pool."""
+"""Tests of the selection of pool owners."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,9 +8,9 @@
 from lacewingspar_core.messages import MemberRecord, RouterState
 from lacewingspar_router.components.admission import const
 from lacewingspar_router.components.admission.pools import (
+    OwnerSelector,
     Pool,
-    PoolOwners,
-    Pools,
+    PoolSelector,
 )
 from lacewingspar_router.components.peers.models import PEERS
 from lacewingspar_router.components.routing.models import ROUTING
@@ -18,11 +18,11 @@
 POOLS = [Pool("models", shard) for shard in range(3)]
 
 
-class Bed:
-    """Owners as one router sees them, on a clock of the test.
+class OwnerSelectorHarness:
+    """Owner selector of one router, with a simulated clock.
 
     Args:
-        capacities: Capacity of each router.
+        capacities: Capacity of each router by ID.
     """
 
     def __init__(self, capacities: dict[str, float]) -> None:
@@ -48,39 +48,41 @@
         app = mock.Mock(get=parts.__getitem__)
         app.now = lambda: self.now
         app.life.router_id = "r0"
-        self.owners = PoolOwners(app, Pools(routing))
+        self.selector = OwnerSelector(app, PoolSelector(routing))
 
-    def lose(self, router_id: str) -> None:
+    def remove_router(self, router_id: str) -> None:
         del self.alive[router_id]
         for listener in self.listeners:
             listener()
 
     @property
-    def present(self) -> list[str]:
-        return [self.owners.present_owner(pool) for pool in POOLS]
+    def current_owners(self) -> list[str]:
+        return [self.selector.current_owner(pool) for pool in POOLS]
 
 
 def test_large_routers_own_the_pools() -> None:
-    bed = Bed({"r0": 0.5, "r1": 0.5, "r2": 2.0, "r3": 2.0, "r4": 1.5})
-    assert sorted(bed.present) == ["r2", "r3", "r4"]
+    harness = OwnerSelectorHarness(
+        {"r0": 0.5, "r1": 0.5, "r2": 2.0, "r3": 2.0, "r4": 1.5}
+    )
+    assert sorted(harness.current_owners) == ["r2", "r3", "r4"]
 
 
 def test_small_routers_take_over_from_the_last_large_one() -> None:
-    bed = Bed({"r0": 0.5, "r1": 0.5, "r2": 2.0})
-    assert set(bed.present) == {"r2"}
-    bed.lose("r2")
-    assert set(bed.present) == {"r0", "r1"}
+    harness = OwnerSelectorHarness({"r0": 0.5, "r1": 0.5, "r2": 2.0})
+    assert set(harness.current_owners) == {"r2"}
+    harness.remove_router("r2")
+    assert set(harness.current_owners) == {"r0", "r1"}
 
 
-def test_silent_owner_is_passed_over_until_it_is_tried_again() -> None:
-    """Guards against owners that are remembered for too long."""
-    bed = Bed({f"r{number}": 1.0 for number in range(5)})
-    first = bed.present[0]
-    bed.owners.suspect(first)
-    assert bed.present[0] != first
-    bed.now = const.SUSPECT_SECONDS
-    assert bed.owners.owner(POOLS[0]) == first
-    # One request tries it; the others wait for its answer.
-    assert bed.owners.owner(POOLS[0]) != first
-    bed.owners.note_answer(first)
-    assert bed.owners.owner(POOLS[0]) == first
+def test_unresponsive_owner_is_skipped_until_it_is_retried() -> None:
+    """Guards against owners that are cached for too long."""
+    harness = OwnerSelectorHarness({f"r{number}": 1.0 for number in range(5)})
+    first = harness.current_owners[0]
+    harness.selector.mark_unresponsive(first)
+    assert harness.current_owners[0] != first
+    harness.now = const.UNRESPONSIVE_OWNER_RETRY_SECONDS
+    assert harness.selector.owner_to_ask(POOLS[0]) == first
+    # One request tries it; the others use another owner until it responds.
+    assert harness.selector.owner_to_ask(POOLS[0]) != first
+    harness.selector.mark_responsive(first)
+    assert harness.selector.owner_to_ask(POOLS[0]) == first
--- a/tests/router/deployed/test_stopping.py
+++ b/tests/router/deployed/test_stopping.py
@@ -1,14 +1,15 @@
-"""Graceful shutdown of a router on the platform."""
+"""Tests of the graceful shutdown of a router on the platform."""
 
 import asyncio
 
 import pytest
 from tests.router.deployed.conftest import Deployment
 
-# The platform kills a process 8 s after the signal to stop. A stream that is
-# taken later than 3 s after the signal must be able to end before that.
+# The platform kills a process 8 s after the stop signal. A stream that starts
+# later than 3 s after the signal may not end before that, so it must be
+# refused. The test scales these times to a shorter grace period.
 GRACE_SECONDS = 2.4
-LATEST_SECONDS = 3.0 / 8.0 * GRACE_SECONDS
+REFUSED_AFTER_SECONDS = 3.0 / 8.0 * GRACE_SECONDS
 
 
 async def drain(deployment: Deployment) -> "asyncio.Task[None]":
@@ -22,14 +23,14 @@
     [
         ("/stream/1", 0.0, 200),
         ("/write/", 0.0, 200),
-        ("/stream/1", LATEST_SECONDS, 503),
-        ("/write/", LATEST_SECONDS, 503),
+        ("/stream/1", REFUSED_AFTER_SECONDS, 503),
+        ("/write/", REFUSED_AFTER_SECONDS, 503),
     ],
 )
 async def test_requests_are_taken_first_and_refused_later(
     served: Deployment, path: str, after_seconds: float, status: int
 ) -> None:
-    """Guards against streams that are cut by the end of the process."""
+    """Guards against streams that are cut off when the process ends."""
     caller = await served.add_router(stop_grace_seconds=GRACE_SECONDS)
     task = await drain(served)
     await asyncio.sleep(after_seconds)
