--- a/packages/router/src/lacewingspar_router/components/admission/holder.py
+++ b/packages/router/src/lacewingspar_router/components/admission/holder.py
@@ -259,7 +259,7 @@
         self._peers.send(pending.owner, request)
 
     def _withdraw(self, pending: _PendingRequest) -> None:
-        """Tell the owner that a request no longer needs an upstream."""
+        """Notify the owner that a request no longer needs an upstream."""
         self._end_at_owner(
             pending.owner,
             pending.pool,
--- a/packages/router/src/lacewingspar_router/components/admission/messages.py
+++ b/packages/router/src/lacewingspar_router/components/admission/messages.py
@@ -50,18 +50,21 @@
 
 
 def decode_request(
-    holder: RouterLife, data_centre: str, request: AdmissionRequest, now: float
+    ingress_router: RouterLife,
+    data_centre: str,
+    request: AdmissionRequest,
+    now: float,
 ) -> Admission:
     """Return the admission request that a message contains.
 
     Args:
-        holder: Router that sent the message.
+        ingress_router: Router that sent the message.
         data_centre: Data centre of the sender.
         request: The message.
         now: Time in seconds on the receiver's clock.
     """
     return Admission(
-        key=AdmissionKey(holder, request.number),
+        key=AdmissionKey(ingress_router, request.number),
         workspace=request.workspace,
         data_centre=data_centre,
         shared_parts=tuple(PromptPart(*part) for part in request.parts),
@@ -98,23 +101,24 @@
 
 
 def decode_decision(
-    holder: RouterLife, message: AnyPeerMessage
+    ingress_router: RouterLife, message: AnyPeerMessage
 ) -> AdmissionDecision | None:
     """Return the decision in a message, or None for other messages."""
     match message:
         case AdmissionGranted():
             return Granted(
-                AdmissionKey(holder, message.number),
+                AdmissionKey(ingress_router, message.number),
                 message.upstream_id,
                 message.fetch_from,
             )
         case AdmissionQueued():
             return Queued(
-                AdmissionKey(holder, message.number), message.wait_ms / 1000
+                AdmissionKey(ingress_router, message.number),
+                message.wait_ms / 1000,
             )
         case AdmissionDeclined():
             return Declined(
-                AdmissionKey(holder, message.number),
+                AdmissionKey(ingress_router, message.number),
                 message.reason,
                 message.wait_ms / 1000,
                 message.retry_after_ms / 1000,
--- a/packages/router/src/lacewingspar_router/components/admission/owner.py
+++ b/packages/router/src/lacewingspar_router/components/admission/owner.py
@@ -210,12 +210,12 @@
         assert isinstance(report, RunReport)
         self.reconcile(received.sender, report)
 
-    def reconcile(self, holder: RouterLife, report: RunReport) -> None:
+    def reconcile(self, ingress_router: RouterLife, report: RunReport) -> None:
         """Update the recorded runs of an ingress router to match its report."""
         now = self._app.now()
         runs = [
             ActiveRun(
-                key=AdmissionKey(holder, run.number),
+                key=AdmissionKey(ingress_router, run.number),
                 upstream_id=run.upstream_id,
                 unread_tokens=run.unread_tokens,
                 memory_tokens=run.memory_tokens,
@@ -225,5 +225,7 @@
             for run in report.runs
         ]
         pool = Pool(report.service, report.shard)
-        decisions = self._pool_admission(pool).reconcile(holder, runs, now)
+        decisions = self._pool_admission(pool).reconcile(
+            ingress_router, runs, now
+        )
         self._deliver_all(pool, decisions)
--- a/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
@@ -184,7 +184,7 @@
         caller_response = self._caller_response
         sink = _EventSink(self, head)
         await connection.async_pass_body(
-            sink, self._response_timeout(), self._stream_pause_timeout()
+            sink, self._response_timeout(), self._event_gap_timeout()
         )
         if caller_response.events.has_partial_event:
             return AttemptEnd(
@@ -269,14 +269,13 @@
             const.RESPONSE_TIMEOUT_TARGET_FACTOR * self._call.route.aim_seconds,
         )
 
-    def _stream_pause_timeout(self) -> float | None:
+    def _event_gap_timeout(self) -> float | None:
         """Return the longest gap that the upstream may leave in a stream."""
         if not self._can_switch_upstream:
             return None
         return max(
-            const.MIN_STREAM_PAUSE_TIMEOUT_SECONDS,
-            const.STREAM_PAUSE_TIMEOUT_FACTOR
-            * self._call.route.pause_aim_seconds,
+            const.MIN_EVENT_GAP_TIMEOUT_SECONDS,
+            const.EVENT_GAP_TIMEOUT_FACTOR * self._call.route.pause_aim_seconds,
         )
 
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/const.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/const.py
@@ -21,8 +21,8 @@
 MIN_RESPONSE_TIMEOUT_SECONDS = 0.5
 # A repeatable stream continues at another upstream after a gap of this multiple
 # of its event gap target, and at least the minimum time, before callers abort.
-STREAM_PAUSE_TIMEOUT_FACTOR = 4.0
-MIN_STREAM_PAUSE_TIMEOUT_SECONDS = 1.0
+EVENT_GAP_TIMEOUT_FACTOR = 4.0
+MIN_EVENT_GAP_TIMEOUT_SECONDS = 1.0
 # A request is retried only if at least this much time remains.
 MIN_RETRY_TIME_LEFT_SECONDS = 0.1
 # Retry-After of refusals that have no better estimate, such as "not_ready".
