--- a/packages/router/src/lacewingspar_router/components/routing/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration, upstreams and routers, as shared through the log service."""
+"""Keeps configuration and upstreams in sync through the log service."""
 
 import asyncio
 
@@ -13,40 +13,50 @@
     TopicListing,
     TopicRecords,
 )
-from lacewingspar_router.components.routing.reading import ReadingRole
+from lacewingspar_router.components.routing.reader_role import LogReaderRole
 from lacewingspar_router.components.routing.registration import Registration
-from lacewingspar_router.components.routing.relay import StateRelay
 from lacewingspar_router.components.routing.state import (
     ORIGIN_LOG,
     RoutingState,
 )
+from lacewingspar_router.components.routing.state_synchronizer import (
+    StateSynchronizer,
+)
 
 
 async def async_setup(app: Application) -> None:
-    """Follow the shared topics and register this router."""
+    """Start following the shared topics and register this router."""
     source = app.get(ROUTING_SOURCE)
     state = RoutingState(app, source)
     app.register(ROUTING, state)
     app.get(PEERS).set_applied_offset_source(
         lambda: max(0, state.configuration_version)
     )
-    is_cut_off = asyncio.Event()
-    is_cut_off.set()
-    role = ReadingRole(app)
-    relay = StateRelay(app, state, role, is_cut_off)
+    is_log_unreachable = asyncio.Event()
+    is_log_unreachable.set()
+    role = LogReaderRole(app)
+    synchronizer = StateSynchronizer(app, state, role, is_log_unreachable)
     configuration = _configuration_follower(
-        app, state, source, role, is_cut_off
+        app, state, source, role, is_log_unreachable
     )
     upstreams = _upstream_follower(
-        app, state, source, role, relay, configuration, is_cut_off
+        app,
+        state,
+        source,
+        role,
+        synchronizer,
+        configuration,
+        is_log_unreachable,
     )
-    registration = Registration(app, source.members)
+    registration = Registration(app, source.routers)
     assert app.settings.platform is not None
     registration.contact_seeds(app.settings.platform.seed_hosts)
     app.create_task(configuration.async_run(), "follow configuration")
     app.create_task(upstreams.async_run(), "follow upstreams")
     app.create_task(registration.async_register(), "register router")
-    app.create_task(relay.async_fetch_while_unavailable(), "fetch shared state")
+    app.create_task(
+        synchronizer.async_fetch_while_unavailable(), "fetch shared state"
+    )
     app.create_task(_async_expire(state), "expire upstreams")
 
 
@@ -54,8 +64,8 @@
     app: Application,
     state: RoutingState,
     source: RoutingSource,
-    role: ReadingRole,
-    is_cut_off: asyncio.Event,
+    role: LogReaderRole,
+    is_log_unreachable: asyncio.Event,
 ) -> TopicFollower:
     key = source.configuration_key
 
@@ -65,7 +75,7 @@
             state.apply_configuration(record.value, "log listing")
 
     def on_records(records: TopicRecords) -> None:
-        # Only the newest of several versions comes into force.
+        # Intermediate versions are skipped.
         newest = [item for item in records.records if item.key == key]
         if newest:
             state.apply_configuration(newest[-1].value, ORIGIN_LOG)
@@ -74,8 +84,8 @@
         source.configuration,
         on_listing,
         on_records,
-        is_cut_off.set,
-        const.CONFIGURATION_READ_WAIT_SECONDS,
+        is_log_unreachable.set,
+        const.CONFIGURATION_LONG_POLL_SECONDS,
         const.CONFIGURATION_READ_PAUSE_SECONDS,
         role,
         app.random,
@@ -86,36 +96,36 @@
     app: Application,
     state: RoutingState,
     source: RoutingSource,
-    role: ReadingRole,
-    relay: StateRelay,
+    role: LogReaderRole,
+    synchronizer: StateSynchronizer,
     configuration: TopicFollower,
-    is_cut_off: asyncio.Event,
+    is_log_unreachable: asyncio.Event,
 ) -> TopicFollower:
-    def note_read() -> None:
-        is_cut_off.clear()
+    def on_read() -> None:
+        is_log_unreachable.clear()
         if configuration.is_available:
-            relay.confirm()
+            synchronizer.send_confirmation()
 
     def on_listing(listing: TopicListing) -> None:
         state.apply_upstream_listing(listing)
-        note_read()
+        on_read()
 
     def on_records(records: TopicRecords) -> None:
         state.apply_upstream_records(
             records.records, records.next_offset, ORIGIN_LOG
         )
-        note_read()
+        on_read()
 
     def on_failure() -> None:
-        is_cut_off.set()
-        state.note_unavailable()
+        is_log_unreachable.set()
+        state.mark_unavailable()
 
     return TopicFollower(
         source.upstreams,
         on_listing,
         on_records,
         on_failure,
-        const.UPSTREAM_READ_WAIT_SECONDS,
+        const.UPSTREAM_LONG_POLL_SECONDS,
         const.UPSTREAM_READ_PAUSE_SECONDS,
         role,
         app.random,
@@ -125,5 +135,5 @@
 
 async def _async_expire(state: RoutingState) -> None:
     while True:
-        await asyncio.sleep(const.EXPIRY_CHECK_SECONDS)
+        await asyncio.sleep(const.EXPIRY_CHECK_INTERVAL_SECONDS)
         state.expire()
--- a/packages/router/src/lacewingspar_router/components/routing/errors.py
+++ b/packages/router/src/lacewingspar_router/components/routing/errors.py
@@ -4,8 +4,8 @@
 
 
 class TopicUnavailableError(RouterError):
-    """A topic cannot be read or written now."""
+    """The log service did not answer, or refused a read or write."""
 
 
 class TopicTruncatedError(RouterError):
-    """Records of a topic were dropped before they were read."""
+    """The log dropped records before they were read."""
--- a/packages/router/src/lacewingspar_router/components/routing/follower.py
+++ b/packages/router/src/lacewingspar_router/components/routing/follower.py
@@ -1,4 +1,4 @@
-"""Follows a keyed topic from its newest records on."""
+"""Reads a keyed topic continuously."""
 
 import asyncio
 import random
@@ -16,28 +16,28 @@
     TopicListing,
     TopicRecords,
 )
-from lacewingspar_router.components.routing.reading import ReadingRole
+from lacewingspar_router.components.routing.reader_role import LogReaderRole
 
 _LOGGER = structlog.get_logger(__name__)
 
 
 class TopicFollower:
-    """Reads a topic until cancelled.
+    """Lists a topic, then reads its new records until cancelled.
 
     Attributes:
         is_available: Whether the last read succeeded.
 
     Args:
-        topic: The topic.
+        topic: Topic to follow.
         on_listing: Called with the newest record of each key.
-        on_records: Called with further records.
+        on_records: Called with the records after the listing.
         on_failure: Called after each failed read.
-        wait_seconds: Longest time that a read waits for a record.
-        pause_seconds: Pause between two reads.
-        role: Tells when this router has to read.
-        generator: Generator for the jitter of pauses.
-        known_offset: Returns the offset up to which the topic is known from
-            other routers.
+        wait_seconds: Long-poll duration of a read.
+        pause_seconds: Delay between reads.
+        role: Decides when this router has to read the log.
+        generator: Random generator for the jitter of retries.
+        known_offset: Returns the offset up to which other routers have
+            supplied the topic.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         on_failure: Callable[[], None],
         wait_seconds: float,
         pause_seconds: float,
-        role: ReadingRole,
+        role: LogReaderRole,
         generator: random.Random,
         known_offset: Callable[[], int] = lambda: 0,
     ) -> None:
@@ -68,50 +68,52 @@
         """Follow the topic until cancelled."""
         while True:
             try:
-                await self._async_step()
+                await self._async_read_once()
             except TopicTruncatedError as error:
                 _LOGGER.info(
-                    "topic history dropped; listing it again",
+                    "unread records dropped from topic; listing it again",
                     topic=self._topic.name,
                     offset=self._offset,
                     reason=str(error),
                 )
                 self._offset = None
-                await self._async_pause(const.FAILED_READ_PAUSE_SECONDS)
+                await self._async_sleep_with_jitter(
+                    const.READ_RETRY_DELAY_SECONDS
+                )
             except TopicUnavailableError as error:
-                self._note(is_available=False, reason=str(error))
+                self._set_available(is_available=False, reason=str(error))
                 self._on_failure()
-                await self._async_pause(
-                    const.FAILED_READ_PAUSE_SECONDS
+                await self._async_sleep_with_jitter(
+                    const.READ_RETRY_DELAY_SECONDS
                     if self._role.is_reader
-                    else const.FOLLOWER_FAILED_READ_PAUSE_SECONDS
+                    else const.FOLLOWER_READ_RETRY_DELAY_SECONDS
                 )
             else:
-                self._note(is_available=True, reason="")
+                self._set_available(is_available=True, reason="")
                 await asyncio.sleep(self._pause_seconds)
 
-    async def _async_step(self) -> None:
+    async def _async_read_once(self) -> None:
         if self._offset is None:
-            listing = await self._topic.async_newest()
+            listing = await self._topic.async_read_newest()
             self._offset = listing.end
             self._on_listing(listing)
             return
-        await self._role.async_wait_to_read()
+        await self._role.async_wait_until_read_due()
         self._offset = max(self._offset, self._known_offset())
         records = await self._topic.async_read(self._offset, self._wait_seconds)
         self._offset = records.next_offset
         self._on_records(records)
 
-    async def _async_pause(self, seconds: float) -> None:
+    async def _async_sleep_with_jitter(self, seconds: float) -> None:
         await asyncio.sleep(seconds * self._random.uniform(0.5, 1.0))
 
-    def _note(self, *, is_available: bool, reason: str) -> None:
+    def _set_available(self, *, is_available: bool, reason: str) -> None:
         if is_available == self.is_available:
             return
         self.is_available = is_available
         if is_available:
-            _LOGGER.info("log service regained", topic=self._topic.name)
+            _LOGGER.info("log service available again", topic=self._topic.name)
         else:
             _LOGGER.warning(
-                "log service lost", topic=self._topic.name, reason=reason
+                "log service unavailable", topic=self._topic.name, reason=reason
             )
--- a/packages/router/src/lacewingspar_router/components/routing/models.py
+++ b/packages/router/src/lacewingspar_router/components/routing/models.py
@@ -1,4 +1,4 @@
-"""Interface of the routing component and of its source."""
+"""Interfaces of the routing component and its source."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a keyed topic.
+    """Record of a keyed topic.
 
     Attributes:
-        key: Its key.
-        value: Its value, empty if the key was dropped.
-        offset: Its offset.
+        key: Key of the record.
+        value: Encoded value, or empty if the key was removed.
+        offset: Offset in the topic.
     """
 
     key: str
@@ -31,8 +31,8 @@
     """The newest record of each key.
 
     Attributes:
-        record_by_key: The records.
-        end: Offset of the first record that may be missing.
+        record_by_key: Newest record of each key.
+        end: Offset from which to continue reading.
     """
 
     record_by_key: Mapping[str, KeyedRecord]
@@ -44,8 +44,8 @@
     """Consecutive records.
 
     Attributes:
-        records: The records, which may be none.
-        next_offset: Offset to read from next.
+        records: Records in order; may be empty.
+        next_offset: Offset of the next read.
     """
 
     records: Sequence[KeyedRecord]
@@ -53,15 +53,15 @@
 
 
 class KeyedTopic(Protocol):
-    """A log in which the newest record of each key is kept."""
+    """Log that retains at least the newest record of each key."""
 
     name: str
 
-    async def async_newest(self) -> TopicListing:
+    async def async_read_newest(self) -> TopicListing:
         """Return the newest record of each key.
 
         Raises:
-            TopicUnavailableError: The log cannot be read now.
+            TopicUnavailableError: The log service is unavailable.
         """
 
     async def async_read(
@@ -69,65 +69,71 @@
     ) -> TopicRecords:
         """Return the records from an offset on, waiting for the first.
 
+        Args:
+            from_offset: Offset of the first record to return.
+            wait_seconds: Longest time to wait if there is none yet.
+
         Raises:
-            TopicUnavailableError: The log cannot be read now.
+            TopicUnavailableError: The log service is unavailable.
             TopicTruncatedError: Records after the offset were dropped.
         """
 
     async def async_append(self, key: str, value: bytes) -> None:
-        """Append a record; the write is repeatable.
+        """Append a record; safe to retry.
 
         Raises:
-            TopicUnavailableError: The record may or may not be appended.
+            TopicUnavailableError: The log service is unavailable. The record
+                may have been appended.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingSource:
-    """Where the shared state of the fleet is kept, and how to read it.
+    """Topics that hold the shared state of the fleet, and their decoders.
 
     Attributes:
         configuration: Topic of the operators' configuration.
-        configuration_key: Its key there.
+        configuration_key: Key of the configuration in that topic.
         upstreams: Topic in which upstreams register.
-        members: Topic in which routers register.
-        decode_configuration: Decodes a configuration.
-        decode_upstream: Decodes the entry of an upstream by its id.
+        routers: Topic in which routers register.
+        decode_configuration: Decodes a configuration, or returns the error.
+        decode_upstream: Decodes the entry of an upstream id, or returns the
+            error.
     """
 
     configuration: KeyedTopic
     configuration_key: str
     upstreams: KeyedTopic
-    members: KeyedTopic
+    routers: KeyedTopic
     decode_configuration: Callable[[bytes], Result[RoutingConfiguration, str]]
     decode_upstream: Callable[[str, bytes], Result[UpstreamEntry, str]]
 
 
 class RoutingView(Protocol):
-    """Configuration and upstreams as this router knows them."""
+    """Read access to the configuration and upstreams of this router."""
 
     @property
     def configuration(self) -> RoutingConfiguration | None:
-        """Return the configuration in force, or None before the first."""
+        """Return the active configuration, or None before the first."""
 
     @property
     def table(self) -> RouteTable:
-        """Return the index of the routes in force."""
+        """Return the route table of the active configuration."""
 
     @property
     def directory(self) -> UpstreamDirectory:
-        """Return the upstreams."""
+        """Return the directory of upstreams."""
 
     @property
     def directory_age_seconds(self) -> float:
-        """Return the time since the list of upstreams was last confirmed."""
+        """Return the time since the directory was last known to be current."""
 
     @property
     def is_ready(self) -> bool:
-        """Return whether configuration and upstreams are known."""
+        """Return whether configuration and upstreams have been loaded."""
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change."""
+        """Register a function that is called after every change."""
 
 
 ROUTING_SOURCE: ComponentKey[RoutingSource] = ComponentKey("routing_source")
--- a/packages/router/src/lacewingspar_router/components/routing/reading.py
+++ b/packages/router/src/lacewingspar_router/components/routing/reader_role.py
@@ -1,4 +1,4 @@
-"""Which routers of a data centre read the shared topics themselves."""
+"""Selects the routers of a data centre that read the shared topics."""
 
 import asyncio
 
@@ -12,16 +12,16 @@
 _LOGGER = structlog.get_logger(__name__)
 
 
-class ReadingRole:
-    """Whether this router reads the shared topics, or follows a reader.
+class LogReaderRole:
+    """Decides whether this router reads the log or follows a reader.
 
-    Calls to the log service are dear, and a fleet in which each router reads
-    makes more of them than the service takes. Some routers of each data centre
-    read, and confirm to the others after each read how new the state is. A
-    router without a confirmation for some time reads itself.
+    The log service cannot serve reads from every router of a fleet. A few
+    routers of each data centre read, and after each read confirm to the others
+    which offset they have reached. A router that receives no confirmation for
+    `READER_CONFIRMATION_TIMEOUT_SECONDS` reads the log itself.
 
     Attributes:
-        is_reader: Whether this router reads for its data centre.
+        is_reader: Whether this router is a reader of its data centre.
 
     Args:
         app: The application.
@@ -33,46 +33,46 @@
         self._confirmed_at = float("-inf")
         self._is_following = False
         self.is_reader = True
-        self._peers.add_listener(self._choose)
-        self._choose()
+        self._peers.add_listener(self._update_role)
+        self._update_role()
 
     @property
     def is_following(self) -> bool:
-        """Return whether a reader has confirmed the state recently."""
-        return self._follow_seconds() > 0
+        """Return whether a reader has sent a confirmation recently."""
+        return self._seconds_until_read_due() > 0
 
-    def note_confirmation(self, router_id: str) -> None:
-        """Take over that a reader has confirmed its state."""
+    def record_confirmation(self, router_id: str) -> None:
+        """Record that a reader has confirmed its state."""
         self._confirmed_at = self._app.now()
         if not self.is_reader and not self._is_following:
             self._is_following = True
-            _LOGGER.info("following a reader of the log", reader=router_id)
+            _LOGGER.info("following a log reader", reader=router_id)
 
-    async def async_wait_to_read(self) -> None:
-        """Wait until this router has to read the topics itself."""
+    async def async_wait_until_read_due(self) -> None:
+        """Wait until this router has to read the log itself."""
         while True:
-            seconds = self._follow_seconds()
+            seconds = self._seconds_until_read_due()
             if seconds <= 0:
                 break
             await asyncio.sleep(seconds)
         if self._is_following:
             self._is_following = False
             _LOGGER.warning(
-                "reading the log itself",
+                "no confirmation from a log reader; reading the log",
                 is_reader=self.is_reader,
                 confirmation_age_ms=round(
                     (self._app.now() - self._confirmed_at) * 1000
                 ),
             )
 
-    def _follow_seconds(self) -> float:
-        """Return how long this router may still rely on a reader."""
+    def _seconds_until_read_due(self) -> float:
+        """Return the time until the last confirmation times out."""
         if self.is_reader:
             return 0.0
         age = self._app.now() - self._confirmed_at
-        return max(0.0, const.CONFIRMATION_SECONDS - age)
+        return max(0.0, const.READER_CONFIRMATION_TIMEOUT_SECONDS - age)
 
-    def _choose(self) -> None:
+    def _update_role(self) -> None:
         own_id = self._app.life.router_id
         data_centre = self._app.settings.data_centre
         serving = [
--- a/packages/router/src/lacewingspar_router/components/routing/registration.py
+++ b/packages/router/src/lacewingspar_router/components/routing/registration.py
@@ -1,4 +1,4 @@
-"""Registers this router and finds the others."""
+"""Registers this router and discovers the others."""
 
 import asyncio
 from collections.abc import Iterable
@@ -16,12 +16,12 @@
 
 _LOGGER = structlog.get_logger(__name__)
 
-# Stands for the unknown name of a router on a seed host.
+# Prefix of placeholder ids for routers on seed hosts, whose ids are unknown.
 _SEED_PREFIX = "seed:"
 
 
 class _RegisteredRouter(msgspec.Struct, frozen=True):
-    """Record of a router; later lives replace earlier ones."""
+    """Registration of a router; each restart replaces it."""
 
     life: RouterLife
     data_centre: str
@@ -29,14 +29,15 @@
 
 
 class Registration:
-    """Record of this router in the topic of all routers.
+    """Registers this router in the topic of routers.
 
-    Of two routers that start at the same time, the one that registers later
-    lists the other and sends it a heartbeat, so that each is found.
+    A router lists the others after it has registered. Of two routers that start
+    at the same time, at least the later one therefore finds the other and sends
+    it a heartbeat.
 
     Args:
         app: The application.
-        topic: Topic of all routers.
+        topic: Topic in which routers register.
     """
 
     def __init__(self, app: Application, topic: KeyedTopic) -> None:
@@ -45,9 +46,9 @@
         self._peers = app.get(PEERS)
 
     def contact_seeds(self, hosts: Iterable[str]) -> None:
-        """Contact routers on hosts where one may be running.
+        """Contact the routers that may be running on some hosts.
 
-        All routers of a fleet use the same port for peers.
+        All routers of a fleet use the same peer port.
         """
         _, _, port = self._app.settings.peer_address.rpartition(":")
         names = [host.rpartition(":")[0] or host for host in hosts]
@@ -57,18 +58,20 @@
         )
 
     async def async_register(self) -> None:
-        """Register this router and contact the others; retry until done."""
+        """Register this router and contact the others, with retries."""
         while True:
             try:
-                await self._async_write()
-                await self._async_contact()
+                await self._async_append_record()
+                await self._async_contact_routers()
             except TopicUnavailableError as error:
-                _LOGGER.warning("registration failed", reason=str(error))
-                await asyncio.sleep(const.REGISTER_PAUSE_SECONDS)
+                _LOGGER.warning(
+                    "router registration failed; will retry", reason=str(error)
+                )
+                await asyncio.sleep(const.REGISTRATION_RETRY_DELAY_SECONDS)
             else:
                 return
 
-    async def _async_write(self) -> None:
+    async def _async_append_record(self) -> None:
         record = _RegisteredRouter(
             self._app.life,
             self._app.settings.data_centre,
@@ -78,8 +81,8 @@
             self._app.life.router_id, msgspec.msgpack.encode(record)
         )
 
-    async def _async_contact(self) -> None:
-        listing = await self._topic.async_newest()
+    async def _async_contact_routers(self) -> None:
+        listing = await self._topic.async_read_newest()
         decoder = msgspec.msgpack.Decoder(_RegisteredRouter)
         seeds: list[Seed] = []
         for key, stored in listing.record_by_key.items():
@@ -87,14 +90,16 @@
                 record = decoder.decode(stored.value)
             except msgspec.MsgspecError as error:
                 _LOGGER.warning(
-                    "router record ignored", key=key, problem=str(error)
+                    "invalid router registration ignored",
+                    key=key,
+                    problem=str(error),
                 )
                 continue
             if not self._is_stale(record.life):
                 seeds.append(Seed(key, record.data_centre, record.address))
         self._peers.add_seeds(seeds)
-        _LOGGER.info("routers listed", count=len(seeds))
+        _LOGGER.info("registered routers listed", count=len(seeds))
 
     def _is_stale(self, life: RouterLife) -> bool:
         age_ms = start_ms(self._app.life) - start_ms(life)
-        return age_ms > const.STALE_MEMBER_SECONDS * 1000
+        return age_ms > const.MAX_REGISTRATION_AGE_SECONDS * 1000
--- a/packages/router/src/lacewingspar_router/components/routing/state.py
+++ b/packages/router/src/lacewingspar_router/components/routing/state.py
@@ -1,4 +1,4 @@
-"""Configuration and upstreams as this router knows them."""
+"""State built from the shared topics: configuration and upstreams."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -24,24 +24,26 @@
 
 _LOGGER = structlog.get_logger(__name__)
 
-# Origin of records that this router has read itself.
+# Origin of records that this router read from the log.
 ORIGIN_LOG = "log"
 
 
 @dataclass(frozen=True, slots=True)
 class StoredConfiguration:
-    """A configuration and the bytes that it was read from."""
+    """Configuration and its encoded form."""
 
     configuration: RoutingConfiguration
     data: bytes
 
 
 class RoutingState:
-    """Applies records of the shared topics, from whatever source they come.
+    """Applies the records of the shared topics.
+
+    Records come from the log or from other routers.
 
     Args:
         app: The application.
-        source: Decodes the records.
+        source: Decoders of the records.
     """
 
     def __init__(self, app: Application, source: RoutingSource) -> None:
@@ -54,91 +56,93 @@
         self._record_by_upstream: dict[str, KeyedRecord] = {}
         self._directory_offset = -1
         self._changed_offset = -1
-        self._listed_offset = -1
+        self._listing_offset = -1
         self._change_offset_by_upstream: dict[str, int] = {}
         self._confirmed_at = float("-inf")
         self._is_unavailable = False
-        self._regained_at = float("-inf")
+        self._recovered_at = float("-inf")
         self._listeners: list[Callable[[], None]] = []
 
     @property
     def configuration(self) -> RoutingConfiguration | None:
-        """Return the configuration in force, or None before the first."""
+        """Return the active configuration, or None before the first."""
         return None if self._stored is None else self._stored.configuration
 
     @property
     def stored_configuration(self) -> StoredConfiguration | None:
-        """Return the configuration in force with its bytes."""
+        """Return the active configuration with its encoded form."""
         return self._stored
 
     @property
     def configuration_version(self) -> int:
-        """Return the version in force, or -1 before the first."""
+        """Return the active version, or -1 before the first."""
         return -1 if self.configuration is None else self.configuration.version
 
     @property
     def table(self) -> RouteTable:
-        """Return the index of the routes in force."""
+        """Return the route table of the active configuration."""
         return self._table
 
     @property
     def directory(self) -> UpstreamDirectory:
-        """Return the upstreams."""
+        """Return the directory of upstreams."""
         return self._directory
 
     @property
     def directory_offset(self) -> int:
-        """Return the offset up to which the list of upstreams is known."""
+        """Return the offset up to which upstream records were applied."""
         return self._directory_offset
 
     @property
     def changed_offset(self) -> int:
-        """Return the offset after the last record that changed the list."""
+        """Return the offset after the last record that changed an upstream."""
         return self._changed_offset
 
     @property
     def may_have_lapsed(self) -> bool:
-        """Return whether the log was disturbed until a moment ago.
+        """Return whether upstream entries may have expired in an outage.
 
-        Upstreams that are missing then may be listed again soon.
+        While the log service is unavailable, upstreams cannot renew their
+        entries. An upstream whose entry is removed during an outage, or within
+        `EXPIRY_READ_SECONDS` after it, may register again soon.
         """
-        since = self._app.now() - self._regained_at
-        return self._is_unavailable or since <= const.LAPSE_READ_SECONDS
+        since = self._app.now() - self._recovered_at
+        return self._is_unavailable or since <= const.EXPIRY_READ_SECONDS
 
     @property
     def directory_age_seconds(self) -> float:
-        """Return the time since the list of upstreams was last confirmed."""
+        """Return the time since the directory was last known to be current."""
         return self._app.now() - self._confirmed_at
 
     @property
     def is_ready(self) -> bool:
-        """Return whether configuration and upstreams are known."""
+        """Return whether configuration and upstreams have been loaded."""
         return self._stored is not None and self._directory_offset >= 0
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change."""
+        """Register a function that is called after every change."""
         self._listeners.append(listener)
 
     def apply_configuration(self, data: bytes, origin: str) -> bool:
-        """Take over a configuration unless a newer one is in force.
+        """Activate a configuration if it is newer than the active one.
 
         Args:
-            data: The configuration as stored.
-            origin: Where it came from, for the log.
+            data: The encoded configuration.
+            origin: Source of the configuration, for log lines.
 
         Returns:
-            Whether it is in force now.
+            Whether the configuration was activated.
         """
         match self._source.decode_configuration(data):
             case Failure(problem):
                 _LOGGER.error(
-                    "configuration cannot be read",
+                    "invalid configuration ignored",
                     origin=origin,
                     problem=problem,
                 )
                 return False
             case Success(configuration):
-                return self._apply(
+                return self._activate(
                     StoredConfiguration(configuration, data), origin
                 )
         return False
@@ -150,12 +154,13 @@
         *,
         may_have_lapsed: bool = False,
     ) -> None:
-        """Take over the whole list of upstreams.
+        """Replace the directory by a full listing of the upstreams.
 
         Args:
-            listing: The list.
-            origin: Where it came from: `log`, or a router.
-            may_have_lapsed: Whether that router saw the log disturbed.
+            listing: Newest record of each upstream.
+            origin: Source of the listing: `log`, or a router.
+            may_have_lapsed: Whether that router reports that entries may have
+                expired in an outage.
         """
         entries = self._decode(listing.record_by_key.values())
         self._record_by_upstream = dict(listing.record_by_key)
@@ -163,11 +168,11 @@
             key: record.offset for key, record in listing.record_by_key.items()
         }
         self._changed_offset = max(self._changed_offset, listing.end)
-        self._listed_offset = max(self._listed_offset, listing.end)
-        self._note_confirmed(listing.end)
+        self._listing_offset = max(self._listing_offset, listing.end)
+        self._mark_confirmed(listing.end)
         if origin == ORIGIN_LOG:
-            self._note_available()
-        self._publish(
+            self._mark_available()
+        self._publish_changes(
             self._directory.replace_all(
                 entries,
                 self._app.now(),
@@ -184,16 +189,17 @@
         *,
         may_have_lapsed: bool = False,
     ) -> None:
-        """Take over records of the list of upstreams.
+        """Apply upstream records to the directory.
 
         Args:
-            records: The records in order.
-            next_offset: Offset up to which the list is known then.
-            origin: Where they came from: `log`, or a router.
-            may_have_lapsed: Whether that router saw the log disturbed.
+            records: Records in order of their offsets.
+            next_offset: Offset up to which the records are complete.
+            origin: Source of the records: `log`, or a router.
+            may_have_lapsed: Whether that router reports that entries may have
+                expired in an outage.
         """
         if origin == ORIGIN_LOG:
-            self._note_available()
+            self._mark_available()
         may_have_lapsed = may_have_lapsed or self.may_have_lapsed
         changes: list[DirectoryChange] = []
         for record in records:
@@ -208,44 +214,45 @@
                 self._changed_offset = max(
                     self._changed_offset, record.offset + 1
                 )
-        self._note_confirmed(next_offset)
-        self._publish(changes, origin)
+        self._mark_confirmed(next_offset)
+        self._publish_changes(changes, origin)
 
     def confirm_directory(self, offset: int) -> None:
-        """Take over that the list has not changed up to an offset."""
-        self._note_available()
-        self._note_confirmed(offset)
+        """Record that no upstream has changed up to an offset."""
+        self._mark_available()
+        self._mark_confirmed(offset)
 
-    def note_unavailable(self) -> None:
-        """Take over that the list of upstreams could not be read."""
+    def mark_unavailable(self) -> None:
+        """Record that the upstream topic could not be read."""
         self._is_unavailable = True
 
     def expire(self) -> None:
-        """Drop upstreams that lapsed and did not come back."""
-        self._publish(self._directory.expire(self._app.now()), "expiry")
+        """Remove expired upstreams that did not register again."""
+        self._publish_changes(self._directory.expire(self._app.now()), "expiry")
 
     def needs_listing(self, offset: int) -> bool:
-        """Return whether only a whole list tells what changed since an offset.
+        """Return whether changes since an offset require a full listing.
 
-        A list that was read anew does not tell which upstreams have gone.
+        Removals before the last listing are not recorded: a listing only
+        contains the upstreams that remain.
         """
-        return offset < self._listed_offset
+        return offset < self._listing_offset
 
     def listed_records(self) -> list[KeyedRecord]:
-        """Return the record of each upstream that is on the list."""
+        """Return the newest record of each registered upstream."""
         return [
             item for item in self._record_by_upstream.values() if item.value
         ]
 
-    def records_after(self, offset: int) -> list[KeyedRecord]:
-        """Return the newest record of each upstream changed since an offset."""
+    def records_since(self, offset: int) -> list[KeyedRecord]:
+        """Return the newest records of upstreams changed since an offset."""
         return [
             self._record_by_upstream[upstream_id]
             for upstream_id, changed in self._change_offset_by_upstream.items()
             if changed >= offset
         ]
 
-    def _apply(self, stored: StoredConfiguration, origin: str) -> bool:
+    def _activate(self, stored: StoredConfiguration, origin: str) -> bool:
         version = stored.configuration.version
         if version <= self.configuration_version:
             return False
@@ -254,14 +261,14 @@
         self._table = RouteTable.of(stored.configuration.routes)
         self._telemetry.gauge("configuration_version", version)
         _LOGGER.info(
-            "configuration in force",
+            "configuration activated",
             version=version,
             previous_version=previous,
             routes=len(stored.configuration.routes),
             keys=len(stored.configuration.workspace_by_key),
             origin=origin,
         )
-        self._notify()
+        self._notify_listeners()
         return True
 
     def _apply_record(
@@ -285,23 +292,25 @@
                 case Failure(problem):
                     self._telemetry.count("invalid_upstream_entries_total")
                     _LOGGER.warning(
-                        "upstream entry ignored",
+                        "invalid upstream entry ignored",
                         upstream=record.key,
                         offset=record.offset,
                         problem=problem,
                     )
         return entries
 
-    def _note_available(self) -> None:
+    def _mark_available(self) -> None:
         if self._is_unavailable:
             self._is_unavailable = False
-            self._regained_at = self._app.now()
+            self._recovered_at = self._app.now()
 
-    def _note_confirmed(self, next_offset: int) -> None:
+    def _mark_confirmed(self, next_offset: int) -> None:
         self._directory_offset = max(self._directory_offset, next_offset)
         self._confirmed_at = self._app.now()
 
-    def _publish(self, changes: list[DirectoryChange], origin: str) -> None:
+    def _publish_changes(
+        self, changes: list[DirectoryChange], origin: str
+    ) -> None:
         for change in changes:
             entry = change.entry
             _LOGGER.info(
@@ -317,9 +326,9 @@
                 origin=origin,
             )
         if changes:
-            self._notify()
+            self._notify_listeners()
 
-    def _notify(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
@@ -328,6 +337,6 @@
     ChangeKind.ADDED: "added",
     ChangeKind.RESTARTED: "restarted",
     ChangeKind.CHANGED: "changed",
-    ChangeKind.LAPSED: "lapsed during a disturbance of the log service",
+    ChangeKind.LAPSED: "expired during an outage of the log service",
     ChangeKind.REMOVED: "removed",
 }
--- a/packages/router/src/lacewingspar_router/components/routing/relay.py
+++ b/packages/router/src/lacewingspar_router/components/routing/state_synchronizer.py
@@ -1,4 +1,4 @@
-"""Passes shared state between routers when one cannot read the log."""
+"""Synchronizes the shared state between routers."""
 
 import asyncio
 
@@ -16,50 +16,51 @@
     KeyedRecord,
     TopicListing,
 )
-from lacewingspar_router.components.routing.reading import ReadingRole
+from lacewingspar_router.components.routing.reader_role import LogReaderRole
 from lacewingspar_router.components.routing.state import RoutingState
 
 
-class StateRelay:
-    """Tells peers of changes and fetches what this router has missed.
+class StateSynchronizer:
+    """Notifies peers of changes and requests the changes that it lacks.
 
     Args:
         app: The application.
         state: State of this router.
-        role: Whether this router reads the log for its data centre.
-        is_cut_off: Set while this router knows of nobody who reads the log.
+        role: Whether this router is a log reader of its data centre.
+        is_log_unreachable: Set while this router neither reads the log itself
+            nor receives confirmations from a reader.
     """
 
     def __init__(
         self,
         app: Application,
         state: RoutingState,
-        role: ReadingRole,
-        is_cut_off: asyncio.Event,
+        role: LogReaderRole,
+        is_log_unreachable: asyncio.Event,
     ) -> None:
         self._app = app
         self._state = state
         self._role = role
-        self._is_cut_off = is_cut_off
-        self._asked_at = float("-inf")
+        self._is_log_unreachable = is_log_unreachable
+        self._requested_at = float("-inf")
         self._peers = app.get(PEERS)
         self._peers.subscribe(StateNotice, self._on_notice)
         self._peers.subscribe(StateRequest, self._on_request)
         self._peers.subscribe(StateReply, self._on_reply)
-        state.add_listener(self._tell)
+        state.add_listener(self._notify_peers)
 
     async def async_fetch_while_unavailable(self) -> None:
-        """Ask peers for newer state while the log cannot be read."""
+        """Request newer state from peers while the log is unreachable."""
         while True:
-            await self._is_cut_off.wait()
-            self._ask(self._some_peer())
-            await asyncio.sleep(const.RELAY_INTERVAL_SECONDS)
+            await self._is_log_unreachable.wait()
+            self._request_state(self._choose_peer())
+            await asyncio.sleep(const.OUTAGE_REQUEST_INTERVAL_SECONDS)
 
-    def confirm(self) -> None:
-        """Tell the own data centre that this router has just read the log."""
+    def send_confirmation(self) -> None:
+        """Confirm to the local data centre that this router read the log."""
         if not self._role.is_reader:
             return
-        notice = self._notice()
+        notice = self._make_notice()
         for router_id, record in self._peers.alive_by_router_id.items():
             if (
                 record.data_centre == self._app.settings.data_centre
@@ -67,23 +68,23 @@
             ):
                 self._peers.send(router_id, notice)
 
-    def _notice(self) -> StateNotice:
+    def _make_notice(self) -> StateNotice:
         return StateNotice(
             self._state.configuration_version,
             self._state.directory_offset,
             self._state.changed_offset,
-            self._role.is_reader and not self._is_cut_off.is_set(),
+            self._role.is_reader and not self._is_log_unreachable.is_set(),
         )
 
-    def _tell(self) -> None:
-        """Tell some peers how new the state of this router is.
+    def _notify_peers(self) -> None:
+        """Send some peers the version and offsets of this router's state.
 
-        A reader tells its whole data centre, whose routers wait for nothing
-        else.
+        A reader notifies its whole data centre, whose other routers do not read
+        the log.
         """
         if self._role.is_following:
             return
-        notice = self._notice()
+        notice = self._make_notice()
         by_data_centre: dict[str, list[str]] = {}
         for router_id, record in self._peers.alive_by_router_id.items():
             if router_id != self._app.life.router_id:
@@ -108,25 +109,25 @@
         assert isinstance(notice, StateNotice)
         router_id = received.sender.router_id
         if notice.is_confirmed:
-            self._role.note_confirmation(router_id)
-            self._is_cut_off.clear()
+            self._role.record_confirmation(router_id)
+            self._is_log_unreachable.clear()
         if not self._is_behind(notice):
             if notice.is_confirmed:
                 self._state.confirm_directory(notice.directory_offset)
             return
         if notice.is_confirmed and not self._role.is_reader:
-            self._ask(router_id)
+            self._request_state(router_id)
         else:
             asyncio.get_running_loop().call_later(
-                const.CATCH_UP_DELAY_SECONDS,
-                self._catch_up,
+                const.STATE_REQUEST_DELAY_SECONDS,
+                self._request_if_behind,
                 router_id,
                 notice,
             )
 
-    def _catch_up(self, router_id: str, notice: StateNotice) -> None:
+    def _request_if_behind(self, router_id: str, notice: StateNotice) -> None:
         if self._is_behind(notice):
-            self._ask(router_id)
+            self._request_state(router_id)
 
     def _is_behind(self, notice: StateNotice) -> bool:
         return (
@@ -134,18 +135,22 @@
             or notice.changed_offset > self._state.directory_offset
         )
 
-    def _ask(self, router_id: str | None) -> None:
+    def _request_state(self, router_id: str | None) -> None:
         now = self._app.now()
-        if router_id is None or now < self._asked_at + const.ASK_AGAIN_SECONDS:
+        if (
+            router_id is None
+            or now
+            < self._requested_at + const.STATE_REQUEST_MIN_INTERVAL_SECONDS
+        ):
             return
-        self._asked_at = now
+        self._requested_at = now
         request = StateRequest(
             self._state.configuration_version, self._state.directory_offset
         )
         self._peers.send(router_id, request)
 
-    def _some_peer(self) -> str | None:
-        """Return a peer that serves, of the own data centre if possible."""
+    def _choose_peer(self) -> str | None:
+        """Return a random peer, from the local data centre if possible."""
         others = [
             (record.data_centre == self._app.settings.data_centre, router_id)
             for router_id, record in self._peers.alive_by_router_id.items()
@@ -170,7 +175,7 @@
         records = (
             self._state.listed_records()
             if is_listing
-            else self._state.records_after(request.directory_offset)
+            else self._state.records_since(request.directory_offset)
         )
         if not has_newer and not records:
             return
--- a/packages/router/src/lacewingspar_router/http1/__init__.py
+++ b/packages/router/src/lacewingspar_router/http1/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 connections to callers and to upstreams.
+"""HTTP/1.1 server and client based on `httptools`.
 
-The parser is that of `httptools`. What a general server or client hides is
-kept visible here: a caller that leaves is noticed at once, answers without a
-length end only with an orderly close, and an answer that belongs to an earlier
-request is told apart.
+General-purpose servers and clients hide details that the router depends on.
+This package detects a caller's disconnect at once, treats a response without a
+length as complete only after an orderly close, and detects a response that
+belongs to an earlier request.
 """
--- a/packages/router/src/lacewingspar_router/http1/caller_connection.py
+++ b/packages/router/src/lacewingspar_router/http1/caller_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller."""
+"""Server side of a caller's connection."""
 
 import asyncio
 from collections import deque
@@ -21,19 +21,23 @@
 
 _LOGGER = structlog.get_logger(__name__)
 
-# Requests that a caller may send before it has read an answer.
-PIPELINED_REQUESTS = 8
-# Answers that a slow caller has not read; the sender waits beyond it.
-WRITE_BUFFER_BYTES = 256 * 1024
-# A connection that is ended in the middle of a request stays open this long,
-# so that the caller reads the answer before it sees the reset.
+# Maximum number of queued requests while one is in flight.
+MAX_PIPELINED_REQUESTS = 8
+# Unsent response data above which the handler waits for a slow caller.
+WRITE_BUFFER_HIGH_WATER_BYTES = 256 * 1024
+# Delay before a connection is closed in the middle of a request, so that the
+# caller reads the response before it sees the reset.
 LINGER_SECONDS = 0.5
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class _BadRequestError(Exception):
-    """A request breaks a limit; the status tells which."""
+class _LimitExceededError(Exception):
+    """A request exceeds a limit.
+
+    Attributes:
+        status: Status code of the response.
+    """
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -41,138 +45,142 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection of a caller; requests are answered in order."""
+    """Connection of a caller; requests are handled in order."""
 
     def __init__(self, server: "Http1Server") -> None:
         self._server = server
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: deque[HttpRequest] = deque()
+        self._queued_requests: deque[HttpRequest] = deque()
         self._task: asyncio.Task[None] | None = None
         self._can_write = asyncio.Event()
         self._can_write.set()
         self._is_reading = False
         self._is_head_complete = False
-        self._is_ended = False
+        self._is_closing = False
         self._must_close = False
-        self._since = self._loop.time()
+        self._last_active_at = self._loop.time()
         self._received_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
     @property
     def must_close(self) -> bool:
-        """Return whether the connection ends with the present answer."""
+        """Return whether the connection closes after this response."""
         return self._must_close or self._server.is_closing_connections
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no request is being read or answered."""
+        """Return whether no request is being received or handled."""
         return self._task is None and not self._is_reading
 
     @property
-    def active_at(self) -> float:
-        """Return when the last request began or ended, on the loop's clock."""
-        return self._since
+    def last_active_at(self) -> float:
+        """Return the loop time at which a request last made progress."""
+        return self._last_active_at
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read."""
+        """Register the connection and start its timeout."""
         # The transports of uvloop do not inherit from those of asyncio.
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
+        self._transport.set_write_buffer_limits(
+            high=WRITE_BUFFER_HIGH_WATER_BYTES
+        )
         self._server.add(self)
-        self._arm_timer()
+        self._schedule_timeout_check()
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes."""
-        if self._is_ended:
+        if self._is_closing:
             return
         if not self._is_reading:
             self._received_at = self._server.now()
-            self._head_bytes = 0
+            self._received_head_bytes = 0
         if not self._is_reading or self._is_head_complete:
-            self._since = self._loop.time()
+            self._last_active_at = self._loop.time()
         was_reading = self._is_reading
         try:
-            self._feed(data)
+            self._feed_parser(data)
             if self._is_reading and not was_reading:
-                self._arm_timer()
+                self._schedule_timeout_check()
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            status = cause.status if isinstance(cause, _BadRequestError) else 0
-            self._reject(status or 400)
+            status = (
+                cause.status if isinstance(cause, _LimitExceededError) else 0
+            )
+            self._send_error_and_close(status or 400)
         except httptools.HttpParserError:
-            self._reject(400)
+            self._send_error_and_close(400)
 
     def eof_received(self) -> None:
-        """Let the transport close; the caller has left."""
+        """Let the transport close, because the caller disconnected."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the request under way."""
+        """Cancel the request in flight."""
         del exc
-        self._is_ended = True
+        self._is_closing = True
         self._server.connections.discard(self)
-        self._waiting.clear()
+        self._queued_requests.clear()
         self._can_write.set()
         if self._timer is not None:
             self._timer.cancel()
         if self._task is not None:
             self._task.cancel()
-        # The parser refers to this connection; without it both are freed now,
-        # and not at a later collection.
+        # The parser and this connection form a reference cycle. Breaking it
+        # frees both now instead of at the next garbage collection.
         del self._parser
 
     def pause_writing(self) -> None:
-        """Hold answers back until the caller has read."""
+        """Make handlers wait until the write buffer has room."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Go on with answers."""
+        """Let handlers continue to write."""
         self._can_write.set()
 
     # httptools callbacks
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self._is_reading = True
         self._is_head_complete = False
         self._url = b""
         self._headers: RawHeaders = []
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._header_bytes = 0
+        self._parsed_head_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the target."""
+        """Append received data to the target."""
         self._url += url
-        self._count_header(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header."""
+        """Append a header."""
         self._headers.append((name.lower(), value))
-        self._count_header(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
 
     def on_headers_complete(self) -> None:
-        """Check the announced length of the body."""
+        """Check the announced body length; send 100 Continue if expected."""
         self._is_head_complete = True
         values = dict(self._headers)
         length = values.get(b"content-length", b"0")
         if int(length) > self._server.limits.body_bytes:
-            raise _BadRequestError(413)
+            raise _LimitExceededError(413)
         if values.get(b"expect", b"").lower() == b"100-continue":
             self.write(_CONTINUE)
 
     def on_body(self, body: bytes) -> None:
-        """Add a part of the body."""
+        """Append received data to the body."""
         self._body.append(body)
         self._body_bytes += len(body)
         if self._body_bytes > self._server.limits.body_bytes:
-            raise _BadRequestError(413)
+            raise _LimitExceededError(413)
 
     def on_message_complete(self) -> None:
-        """Answer the request, or queue it behind the one under way."""
+        """Handle the request, or queue it behind the one in flight."""
         self._is_reading = False
         if not self._parser.should_keep_alive():
             self._must_close = True
@@ -183,83 +191,87 @@
             body=b"".join(self._body),
             received_at=self._received_at,
         )
-        # An idle connection keeps nothing of its last request.
+        # An idle connection must not keep its last request in memory.
         self._headers = []
         self._body = []
         self._received_at = self._server.now()
         if self._task is None:
-            refusal = self._server.screen(request)
-            if refusal is not None:
-                self._refuse(request, refusal)
+            early_response = self._server.early_responder(request)
+            if early_response is not None:
+                self._send_early_response(request, early_response)
                 return
-        if len(self._waiting) >= PIPELINED_REQUESTS:
-            raise _BadRequestError(429)
-        self._waiting.append(request)
+        if len(self._queued_requests) >= MAX_PIPELINED_REQUESTS:
+            raise _LimitExceededError(429)
+        self._queued_requests.append(request)
         if self._task is None:
-            self._answer_next()
+            self._start_next_request()
 
-    # For exchanges
+    # ResponseConnection
 
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send data, unless the connection is closing."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     @property
     def can_write(self) -> bool:
-        """Return whether the caller has read enough."""
+        """Return whether the write buffer has room."""
         return self._can_write.is_set()
 
     async def async_drain(self) -> None:
-        """Wait until the caller has read enough."""
+        """Wait until the write buffer has room."""
         await self._can_write.wait()
 
     def close(self) -> None:
-        """Close the connection after what was written."""
-        self._is_ended = True
+        """Close the connection after the buffered data was sent."""
+        self._is_closing = True
         if self._transport is not None:
             self._transport.close()
 
-    def _feed(self, data: bytes) -> None:
+    def _feed_parser(self, data: bytes) -> None:
         while True:
             try:
                 self._parser.feed_data(data)
             except httptools.HttpParserUpgrade as upgrade:
-                # The upgrade is not taken; the connection goes on as it is.
+                # Protocol upgrades are ignored.
                 data = data[upgrade.args[0] :]
                 self._parser = httptools.HttpRequestParser(self)
                 if data:
                     continue
             break
         if self._is_reading and not self._is_head_complete:
-            self._head_bytes += len(data)
-            if self._head_bytes > self._server.limits.header_bytes:
-                self._reject(431)
-
-    def _count_header(self, size: int) -> None:
-        self._header_bytes += size
-        if self._header_bytes > self._server.limits.header_bytes:
-            raise _BadRequestError(431)
-
-    def _refuse(self, request: HttpRequest, refusal: Response) -> None:
-        """Answer a request without a task of its own."""
+            self._received_head_bytes += len(data)
+            if self._received_head_bytes > self._server.limits.header_bytes:
+                self._send_error_and_close(431)
+
+    def _count_head_bytes(self, size: int) -> None:
+        self._parsed_head_bytes += size
+        if self._parsed_head_bytes > self._server.limits.header_bytes:
+            raise _LimitExceededError(431)
+
+    def _send_early_response(
+        self, request: HttpRequest, early_response: Response
+    ) -> None:
+        """Send an early response without starting a task."""
         ServerExchange(self, request).answer(
-            refusal.status, refusal.headers, refusal.body
+            early_response.status, early_response.headers, early_response.body
         )
         if self.must_close:
             self.close()
 
-    def _answer_next(self) -> None:
-        if self._is_ended or not self._waiting:
+    def _start_next_request(self) -> None:
+        if self._is_closing or not self._queued_requests:
             return
-        exchange = ServerExchange(self, self._waiting.popleft())
-        self._task = self._loop.create_task(self._async_answer(exchange))
+        exchange = ServerExchange(self, self._queued_requests.popleft())
+        self._task = self._loop.create_task(
+            self._async_handle_request(exchange)
+        )
 
-    async def _async_answer(self, exchange: ServerExchange) -> None:
+    async def _async_handle_request(self, exchange: ServerExchange) -> None:
         try:
             await self._server.handler(exchange)
         except asyncio.CancelledError:
-            if not self._is_ended:
+            if not self._is_closing:
                 self._abort()
             raise
         except Exception:
@@ -268,53 +280,55 @@
                 exchange.answer(500, [], b"")
         finally:
             self._task = None
-        if self._is_ended:
+        if self._is_closing:
             return
         if not exchange.is_finished:
             self._abort()
         elif self.must_close:
             self.close()
         else:
-            self._since = self._loop.time()
-            self._answer_next()
+            self._last_active_at = self._loop.time()
+            self._start_next_request()
 
     def _abort(self) -> None:
-        """Reset the connection, so that the answer does not look complete."""
-        self._is_ended = True
+        """Reset the connection, so that the response is seen as incomplete."""
+        self._is_closing = True
         if self._transport is not None:
             self._transport.abort()
 
-    def _reject(self, status: int) -> None:
-        """Answer what cannot be read as a request, and stop reading."""
-        _LOGGER.info("unreadable request", status=status)
-        self._is_ended = True
+    def _send_error_and_close(self, status: int) -> None:
+        """Respond with an error, and close the connection after a delay."""
+        _LOGGER.info("request rejected and connection closed", status=status)
+        self._is_closing = True
         if self._task is None:
             headers = [(b"content-length", b"0"), (b"connection", b"close")]
             self.write(encode_head(status_line(status), headers))
         self._loop.call_later(LINGER_SECONDS, self.close)
 
-    def _arm_timer(self) -> None:
+    def _schedule_timeout_check(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        limit = self._time_limit()
-        due = self._since + limit
-        self._timer = self._loop.call_at(due, self._check_time)
+        limit = self._timeout_seconds()
+        due_at = self._last_active_at + limit
+        self._timer = self._loop.call_at(due_at, self._check_timeout)
 
-    def _time_limit(self) -> float:
+    def _timeout_seconds(self) -> float:
         limits = self._server.limits
         if self._is_reading and not self._is_head_complete:
             return limits.header_timeout_seconds
         return limits.idle_timeout_seconds
 
-    def _check_time(self) -> None:
-        if self._is_ended:
+    def _check_timeout(self) -> None:
+        if self._is_closing:
             return
         if self._task is not None:
-            self._since = self._loop.time()
-        elif self._loop.time() >= self._since + self._time_limit():
+            self._last_active_at = self._loop.time()
+        elif (
+            self._loop.time() >= self._last_active_at + self._timeout_seconds()
+        ):
             if self._is_reading:
-                self._reject(408)
+                self._send_error_and_close(408)
             else:
                 self.close()
             return
-        self._arm_timer()
+        self._schedule_timeout_check()
--- a/packages/router/src/lacewingspar_router/http1/client.py
+++ b/packages/router/src/lacewingspar_router/http1/client.py
@@ -1,4 +1,4 @@
-"""Requests to servers: connecting, sending and whole answers."""
+"""HTTP client functions: connecting, and reading whole responses."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
     ResponseHead,
 )
 
-# The networks between VMs have round trips of a few milliseconds; a peer that
-# does not accept within this time is taken to be down.
+# Round trips between VMs take a few milliseconds. A peer that does not accept
+# within this time is considered down.
 CONNECT_TIMEOUT_SECONDS = 0.35
 
 
@@ -22,7 +22,7 @@
     """Open a connection.
 
     Raises:
-        ConnectionFailedError: It could not be opened.
+        ConnectionFailedError: The connection could not be opened.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -38,45 +38,45 @@
 
 
 async def async_exchange(
-    connection: ClientConnection, data: bytes, limit_bytes: int
+    connection: ClientConnection, data: bytes, max_body_bytes: int
 ) -> Response:
-    """Send a request and return its whole answer.
+    """Send a request and return the whole response.
 
     Args:
         connection: An idle connection.
-        data: The request.
-        limit_bytes: Largest body.
+        data: The encoded request.
+        max_body_bytes: Maximum size of the response body.
 
     Raises:
-        ConnectionBrokenError: The connection ended before the answer did.
-        InvalidAnswerError: The answer is too large or not HTTP.
+        ConnectionBrokenError: The connection ended before the response did.
+        InvalidAnswerError: The response is too large or not HTTP.
     """
     connection.send(data)
     head = await async_read_head(connection)
-    return await async_read_body(connection, head, limit_bytes)
+    return await async_read_body(connection, head, max_body_bytes)
 
 
 async def async_read_head(connection: ClientConnection) -> ResponseHead:
-    """Return the head of the next answer.
+    """Return the head of the next response.
 
     Raises:
-        ConnectionBrokenError: The connection ended before it.
-        InvalidAnswerError: What comes is no head.
+        ConnectionBrokenError: The connection ended before the head.
+        InvalidAnswerError: The received data is not a response head.
     """
     head = await connection.next_event()
     if not isinstance(head, ResponseHead):
-        raise InvalidAnswerError("an answer has no head")
+        raise InvalidAnswerError("response does not start with a head")
     return head
 
 
 async def async_read_body(
-    connection: ClientConnection, head: ResponseHead, limit_bytes: int
+    connection: ClientConnection, head: ResponseHead, max_body_bytes: int
 ) -> Response:
-    """Return the whole answer to a head that was read.
+    """Read the body of a response and return the whole response.
 
     Raises:
-        ConnectionBrokenError: The connection ended before the answer did.
-        InvalidAnswerError: The body is too large, or another answer follows
+        ConnectionBrokenError: The connection ended before the response did.
+        InvalidAnswerError: The body is too large, or another response starts
             before its end.
     """
     body = bytearray()
@@ -85,7 +85,7 @@
         if isinstance(event, ResponseEnd):
             return Response(head.status, head.headers, bytes(body))
         if isinstance(event, ResponseHead):
-            raise InvalidAnswerError("an answer follows before the end")
+            raise InvalidAnswerError("another response started before the end")
         body += event
-        if len(body) > limit_bytes:
-            raise InvalidAnswerError("the answer is too large")
+        if len(body) > max_body_bytes:
+            raise InvalidAnswerError("response body is too large")
--- a/packages/router/src/lacewingspar_router/http1/client_connection.py
+++ b/packages/router/src/lacewingspar_router/http1/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream or another server."""
+"""Client side of a connection to an upstream or another server."""
 
 import asyncio
 import socket
@@ -16,30 +16,30 @@
 from lacewingspar_router.http1.messages import ResponseEnd, ResponseHead
 from lacewingspar_router.http_headers import RawHeaders
 
-# Probes of a connection find a peer that has lost power or was cut off. The
-# first is sent after a second without data, and two missing answers end the
+# TCP keepalive detects a peer that lost power or was disconnected. Probing
+# starts after a second without data, and two unacknowledged probes end the
 # connection.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
-# Sent data that is not acknowledged for this long ends the connection.
-UNACKNOWLEDGED_LIMIT_MS = 2500
-# Received data that waits to be read; reading pauses beyond it.
-READ_BUFFER_BYTES = 256 * 1024
-# Received heads, ends and parts of bodies that wait to be read.
-READ_BUFFER_PARTS = 1024
-# Bytes without a part of a body or the end of an answer: a head, informational
-# answers, the framing of chunks, or trailers. Common servers send heads of at
-# most 8 to 16 KB.
-LARGEST_HEAD_BYTES = 64 * 1024
-# Idle time of a connection after which it is not used again, where the peer
-# announces none. Common servers close idle connections after 5 s or later.
-DEFAULT_IDLE_SECONDS = 4.0
-# A connection is not used in the last part of its announced idle time, in
-# which the peer may be closing it already.
-IDLE_SAFETY_FRACTION = 0.5
+# The connection ends if sent data stays unacknowledged for this long.
+TCP_USER_TIMEOUT_MS = 2500
+# Buffered body data above which reading from the socket pauses.
+MAX_BUFFERED_BYTES = 256 * 1024
+# Buffered events (heads, body chunks and ends) above which reading pauses.
+MAX_BUFFERED_EVENTS = 1024
+# Maximum data received without a complete event: a head, informational
+# responses, chunk framing or trailers. Common servers send heads of at most
+# 8 to 16 KB.
+MAX_HEAD_BYTES = 64 * 1024
+# Assumed idle timeout of peers that announce none. Common servers close idle
+# connections after 5 s or later.
+DEFAULT_IDLE_TIMEOUT_SECONDS = 4.0
+# Fraction of the idle timeout during which a connection is reused. Later the
+# peer may already be closing it.
+USABLE_IDLE_FRACTION = 0.5
 _STATUSES_WITHOUT_BODY = frozenset({204, 304})
-_INFORMATIONAL_BELOW = 200
+_FIRST_FINAL_STATUS = 200
 
 _NEVER = float("inf")
 
@@ -47,17 +47,17 @@
 
 
 class BodySink(Protocol):
-    """Takes a body as it arrives."""
+    """Receives a response body as it arrives."""
 
     def write(self, data: bytes) -> bool:
-        """Take a part; return whether more may come at once."""
+        """Accept a chunk; return whether the sink accepts more at once."""
 
     async def async_drain(self) -> None:
-        """Wait until more may come."""
+        """Wait until the sink accepts more."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection that carries one request after the other."""
+    """Connection that carries one request at a time."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -65,18 +65,18 @@
         self._error: Exception | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._buffered_bytes = 0
-        self._framing_bytes = 0
+        self._bytes_since_event = 0
         self._has_progressed = False
         self._sink: BodySink | None = None
-        self._pause_limit = _NEVER
-        self._part_due_at = _NEVER
+        self._gap_timeout_seconds = _NEVER
+        self._part_deadline = _NEVER
         self._is_paused = False
         self._is_busy = False
         self._is_closing = False
         self._idle_since = 0.0
-        self._idle_limit = DEFAULT_IDLE_SECONDS
+        self._idle_timeout_seconds = DEFAULT_IDLE_TIMEOUT_SECONDS
         self._headers: RawHeaders = []
-        self._is_unframed = False
+        self._is_close_delimited = False
         self._parser = httptools.HttpResponseParser(self)
 
     # asyncio.Protocol
@@ -90,7 +90,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse received bytes."""
         if not self._is_busy:
-            # Nothing was asked, so these bytes belong to no request.
+            # Data without a request in flight belongs to no request.
             self.abort()
             return
         if self._error is not None:
@@ -99,101 +99,103 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._reject("upstream switched protocols")
+            self._reject("peer switched protocols")
         except httptools.HttpParserError as error:
-            self._reject(f"not an HTTP answer: {error}")
-        self._limit_framing(len(data))
+            self._reject(f"invalid HTTP response: {error}")
+        self._check_framing_limit(len(data))
 
     def eof_received(self) -> None:
-        """End an answer without a length, or break the exchange."""
-        if self._is_unframed:
-            self._push(ResponseEnd())
-            self._is_unframed = False
+        """End a response that is delimited by the close of the connection."""
+        if self._is_close_delimited:
+            self._push_event(ResponseEnd())
+            self._is_close_delimited = False
         self._is_closing = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Break the exchange under way."""
+        """Fail the exchange in flight."""
         self._is_closing = True
-        reason = "connection closed" if exc is None else f"connection: {exc}"
-        self._fail(ConnectionBrokenError(reason))
-        # The parser refers to this connection; without it both are freed now,
-        # and not at a later collection.
+        reason = (
+            "connection closed" if exc is None else f"connection failed: {exc}"
+        )
+        self._set_error(ConnectionBrokenError(reason))
+        # The parser and this connection form a reference cycle. Breaking it
+        # frees both now instead of at the next garbage collection.
         del self._parser
 
     # httptools callbacks
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Start a response."""
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header."""
+        """Append a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Hand over the head."""
+        """Queue the response head."""
         status = self._parser.get_status_code()
-        if status < _INFORMATIONAL_BELOW:
+        if status < _FIRST_FINAL_STATUS:
             return
         names = {name for name, _ in self._headers}
-        self._is_unframed = (
+        self._is_close_delimited = (
             b"content-length" not in names
             and b"transfer-encoding" not in names
             and status not in _STATUSES_WITHOUT_BODY
         )
         self._has_progressed = True
-        self._push(ResponseHead(status, self._headers))
+        self._push_event(ResponseHead(status, self._headers))
 
     def on_body(self, body: bytes) -> None:
-        """Hand over a part of the body."""
+        """Pass body data to the sink, or queue it if there is none."""
         self._has_progressed = True
         if self._sink is None:
             self._buffered_bytes += len(body)
-            self._push(body)
+            self._push_event(body)
             return
-        if self._pause_limit < _NEVER:
-            self._part_due_at = time.monotonic() + self._pause_limit
+        if self._gap_timeout_seconds < _NEVER:
+            self._part_deadline = time.monotonic() + self._gap_timeout_seconds
         try:
-            takes_more = self._sink.write(body)
+            accepts_more = self._sink.write(body)
         except EventSizeError as error:
-            self._fail(error)
+            self._set_error(error)
             return
-        if not takes_more:
+        if not accepts_more:
             self._pause_reading()
-            self._wake()
+            self._wake_waiter()
 
     def on_message_complete(self) -> None:
-        """Hand over the end of the answer."""
-        if self._parser.get_status_code() < _INFORMATIONAL_BELOW:
+        """Queue the end of the response."""
+        if self._parser.get_status_code() < _FIRST_FINAL_STATUS:
             return
         if not self._parser.should_keep_alive():
             self._is_closing = True
-        self._idle_limit = _idle_limit(self._headers)
-        self._is_unframed = False
+        self._idle_timeout_seconds = _parse_idle_timeout(self._headers)
+        self._is_close_delimited = False
         self._has_progressed = True
-        self._push(ResponseEnd())
+        self._push_event(ResponseEnd())
 
     # Exchange
 
     def send(self, data: bytes) -> None:
-        """Send a whole request."""
+        """Send an encoded request."""
         assert self._transport is not None
         self._is_busy = True
         self._transport.write(data)
 
     async def next_event(self, limit_seconds: float | None = None) -> _Event:
-        """Return the next part of an answer.
+        """Return the next event of a response.
 
         Args:
-            limit_seconds: Longest time to wait for it, or None for no limit.
+            limit_seconds: Maximum time to wait, or None for no limit.
 
         Raises:
             ConnectionBrokenError: The connection ended.
-            InvalidAnswerError: The bytes are no HTTP answer.
-            TimeoutError: It has not come in time.
+            InvalidAnswerError: The received data is not a valid response.
+            TimeoutError: No event arrived in time.
         """
         while True:
-            event = self.ready_event()
+            event = self.pop_ready_event()
             if event is not None:
                 return event
             if self._error is not None:
@@ -203,36 +205,44 @@
     async def async_pass_body(
         self,
         sink: BodySink,
-        first_limit_seconds: float | None,
-        pause_limit_seconds: float | None,
+        first_chunk_timeout_seconds: float | None,
+        gap_timeout_seconds: float | None,
     ) -> None:
-        """Hand the body of an answer to a sink until its end.
+        """Pass the body of a response to a sink until its end.
 
-        Parts go to the sink in the callback that receives them, without a turn
-        of this coroutine.
+        The parser callback writes to the sink directly, which avoids waking
+        this coroutine for each chunk.
 
         Args:
-            sink: Takes the parts.
-            first_limit_seconds: Longest time to the first part, or None.
-            pause_limit_seconds: Longest time between two parts, or None.
+            sink: Receives the body.
+            first_chunk_timeout_seconds: Maximum time to the first chunk, or
+                None for no limit.
+            gap_timeout_seconds: Maximum time between two chunks, or None for no
+                limit.
 
         Raises:
             ConnectionBrokenError: The connection ended.
             EventSizeError: Raised by the sink.
-            InvalidAnswerError: The bytes are no HTTP answer, or another answer
-                follows before the end.
-            TimeoutError: A part has not come in time.
+            InvalidAnswerError: The received data is not a valid response, or
+                another response starts before the end.
+            TimeoutError: No chunk arrived in time.
         """
-        self._pause_limit = _or_never(pause_limit_seconds)
-        self._part_due_at = time.monotonic() + _or_never(first_limit_seconds)
+        self._gap_timeout_seconds = _timeout_or_never(gap_timeout_seconds)
+        self._part_deadline = time.monotonic() + _timeout_or_never(
+            first_chunk_timeout_seconds
+        )
         while True:
-            event = self.ready_event()
+            event = self.pop_ready_event()
             if isinstance(event, ResponseEnd):
                 return
             if isinstance(event, ResponseHead):
-                raise InvalidAnswerError("an answer follows before the end")
+                raise InvalidAnswerError(
+                    "another response started before the end"
+                )
             if event is not None:
-                self._part_due_at = time.monotonic() + self._pause_limit
+                self._part_deadline = (
+                    time.monotonic() + self._gap_timeout_seconds
+                )
                 if not sink.write(event):
                     await sink.async_drain()
                 continue
@@ -248,20 +258,20 @@
                 self._resume_reading()
 
     async def _async_wait_for_end(self) -> None:
-        """Wait until the sink cannot take what has arrived."""
+        """Wait for the end of the body, an error, or a sink that is full."""
         loop = asyncio.get_running_loop()
         waiter = self._waiter = loop.create_future()
         timer: asyncio.TimerHandle | None = None
 
         def check() -> None:
             nonlocal timer
-            left = self._part_due_at - time.monotonic()
+            left = self._part_deadline - time.monotonic()
             if left <= 0:
-                _expire(waiter)
+                _set_timeout_error(waiter)
             else:
                 timer = loop.call_later(left, check)
 
-        if self._part_due_at < _NEVER:
+        if self._part_deadline < _NEVER:
             check()
         try:
             await waiter
@@ -270,26 +280,26 @@
                 timer.cancel()
 
     async def _async_wait(self, limit_seconds: float | None) -> None:
-        """Wait until something has arrived.
+        """Wait until an event arrives.
 
-        A timer of its own costs a fraction of `asyncio.timeout`, which counts
-        with one for each event of each stream.
+        A plain timer is much cheaper than `asyncio.timeout`, which matters
+        because this runs for each event of each stream.
         """
         loop = asyncio.get_running_loop()
         waiter = self._waiter = loop.create_future()
         if limit_seconds is None:
             await waiter
             return
-        timer = loop.call_later(limit_seconds, _expire, waiter)
+        timer = loop.call_later(limit_seconds, _set_timeout_error, waiter)
         try:
             await waiter
         finally:
             timer.cancel()
 
-    def ready_event(self) -> _Event | None:
-        """Return the next part of an answer if it has arrived.
+    def pop_ready_event(self) -> _Event | None:
+        """Remove and return the next queued event, or None.
 
-        Parts of a body that have arrived together are one.
+        Adjacent body chunks are joined into one.
         """
         events = self._events
         if not events:
@@ -308,10 +318,10 @@
         return event
 
     def finish(self) -> bool:
-        """End an exchange whose answer was complete.
+        """Complete an exchange, and abort the connection if not reusable.
 
         Returns:
-            Whether the connection may carry another request.
+            Whether the connection can carry another request.
         """
         transport = self._transport
         is_reusable = (
@@ -319,7 +329,7 @@
             and not self._is_closing
             and self._error is None
             and not self._events
-            # The peer may still be reading a body that it has answered.
+            # The peer may respond before it has read the whole request body.
             and transport.get_write_buffer_size() == 0
         )
         if not is_reusable:
@@ -331,18 +341,19 @@
         return True
 
     def abort(self) -> None:
-        """Close the connection, which cancels a request under way."""
+        """Close the connection at once, which cancels a request in flight."""
         self._is_closing = True
         if self._transport is not None:
             self._transport.abort()
 
-    def is_fresh(self, idle_seconds: float | None) -> bool:
-        """Return whether the idle connection may be used again.
+    def is_reusable(self, idle_seconds: float | None) -> bool:
+        """Return whether the idle connection can be reused.
 
         Args:
-            idle_seconds: Longest idle time, or None for what the peer allows.
+            idle_seconds: Maximum idle time in addition to the idle timeout of
+                the peer, or None.
         """
-        limit = IDLE_SAFETY_FRACTION * self._idle_limit
+        limit = USABLE_IDLE_FRACTION * self._idle_timeout_seconds
         if idle_seconds is not None:
             limit = min(limit, idle_seconds)
         return (
@@ -350,15 +361,15 @@
             and time.monotonic() - self._idle_since <= limit
         )
 
-    def _push(self, event: _Event) -> None:
+    def _push_event(self, event: _Event) -> None:
         self._events.append(event)
         is_full = (
-            self._buffered_bytes > READ_BUFFER_BYTES
-            or len(self._events) > READ_BUFFER_PARTS
+            self._buffered_bytes > MAX_BUFFERED_BYTES
+            or len(self._events) > MAX_BUFFERED_EVENTS
         )
         if is_full:
             self._pause_reading()
-        self._wake()
+        self._wake_waiter()
 
     def _pause_reading(self) -> None:
         if not self._is_paused and self._transport is not None:
@@ -370,41 +381,43 @@
             self._transport.resume_reading()
             self._is_paused = False
 
-    def _limit_framing(self, received_bytes: int) -> None:
-        """Reject a head, or what frames a body, that does not end."""
+    def _check_framing_limit(self, received_bytes: int) -> None:
+        """Reject a head or chunk framing of excessive size."""
         if self._has_progressed:
-            self._framing_bytes = 0
+            self._bytes_since_event = 0
             return
-        self._framing_bytes += received_bytes
-        if self._framing_bytes > LARGEST_HEAD_BYTES:
-            self._reject(f"no end of a head in {self._framing_bytes} bytes")
+        self._bytes_since_event += received_bytes
+        if self._bytes_since_event > MAX_HEAD_BYTES:
+            self._reject(
+                f"response head too large: {self._bytes_since_event} bytes"
+            )
 
     def _reject(self, reason: str) -> None:
-        """Break the exchange, and take no more bytes of the peer."""
-        self._fail(InvalidAnswerError(reason))
+        """Fail the exchange and close the connection."""
+        self._set_error(InvalidAnswerError(reason))
         self.abort()
 
-    def _fail(self, error: Exception) -> None:
+    def _set_error(self, error: Exception) -> None:
         if self._error is None:
             self._error = error
-        self._wake()
+        self._wake_waiter()
 
-    def _wake(self) -> None:
+    def _wake_waiter(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
 
-def _or_never(seconds: float | None) -> float:
+def _timeout_or_never(seconds: float | None) -> float:
     return _NEVER if seconds is None else seconds
 
 
-def _expire(waiter: asyncio.Future[None]) -> None:
+def _set_timeout_error(waiter: asyncio.Future[None]) -> None:
     if not waiter.done():
         waiter.set_exception(TimeoutError())
 
 
 def set_socket_options(transport: asyncio.BaseTransport) -> None:
-    """Send without delay, and notice a peer that has gone silent."""
+    """Disable Nagle's algorithm and enable TCP keepalive."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
@@ -414,14 +427,14 @@
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
     )
     for level, name, value in options:
         sock.setsockopt(level, name, value)
 
 
-def _idle_limit(headers: RawHeaders) -> float:
-    """Return how long the peer keeps the connection idle, in seconds."""
+def _parse_idle_timeout(headers: RawHeaders) -> float:
+    """Return the idle timeout of the peer in seconds."""
     for name, value in headers:
         if name != b"keep-alive":
             continue
@@ -429,4 +442,4 @@
             key, _, number = part.strip().partition(b"=")
             if key.lower() == b"timeout" and number.strip().isdigit():
                 return float(number)
-    return DEFAULT_IDLE_SECONDS
+    return DEFAULT_IDLE_TIMEOUT_SECONDS
--- a/packages/router/src/lacewingspar_router/http1/connection_pool.py
+++ b/packages/router/src/lacewingspar_router/http1/connection_pool.py
@@ -1,20 +1,23 @@
-"""Idle connections to one address."""
+"""Connection pool for one address."""
 
 from lacewingspar_router.http1.client import async_connect
 from lacewingspar_router.http1.client_connection import ClientConnection
 
 
 class ConnectionPool:
-    """Connections to one address.
+    """Pool of idle connections to one address.
 
     Args:
         address: `host:port`.
-        most_idle: Idle connections beyond which none is kept, or None.
+        max_idle_connections: Maximum number of idle connections, or None for no
+            limit.
     """
 
-    def __init__(self, address: str, most_idle: int | None = None) -> None:
+    def __init__(
+        self, address: str, max_idle_connections: int | None = None
+    ) -> None:
         self.address = address
-        self._most_idle = most_idle
+        self._max_idle_connections = max_idle_connections
         self._idle: list[ClientConnection] = []
 
     async def async_take(
@@ -23,36 +26,39 @@
         """Return an idle connection or a new one.
 
         Args:
-            idle_seconds: Longest idle time of a connection that is reused,
-                or None for what the peer allows.
+            idle_seconds: Maximum idle time of a reused connection, in addition
+                to the idle timeout of the peer.
 
         Raises:
             ConnectionFailedError: No connection could be opened.
         """
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_fresh(idle_seconds):
+            if connection.is_reusable(idle_seconds):
                 return connection
             connection.abort()
         return await async_connect(self.address)
 
     def give_back(self, connection: ClientConnection) -> None:
-        """Keep a connection whose exchange is over, if it can be reused."""
+        """Return a connection to the pool, or close it if not reusable."""
         if not connection.finish():
             return
-        if self._most_idle is not None and len(self._idle) >= self._most_idle:
+        if (
+            self._max_idle_connections is not None
+            and len(self._idle) >= self._max_idle_connections
+        ):
             connection.abort()
             return
         self._idle.append(connection)
 
     @property
     def is_empty(self) -> bool:
-        """Return whether no idle connection is kept."""
+        """Return whether the pool has no idle connections."""
         return not self._idle
 
     def drop_stale(self) -> None:
-        """Close the idle connections that cannot be reused."""
-        stale = [item for item in self._idle if not item.is_fresh(None)]
+        """Close the idle connections that can no longer be reused."""
+        stale = [item for item in self._idle if not item.is_reusable(None)]
         for connection in stale:
             self._idle.remove(connection)
             connection.abort()
--- a/packages/router/src/lacewingspar_router/http1/errors.py
+++ b/packages/router/src/lacewingspar_router/http1/errors.py
@@ -4,12 +4,12 @@
 
 
 class ConnectionFailedError(RouterError):
-    """No connection could be opened; nothing was sent."""
+    """A connection could not be opened; nothing was sent."""
 
 
 class ConnectionBrokenError(RouterError):
-    """A connection ended before its answer was complete."""
+    """A connection ended before its response was complete."""
 
 
 class InvalidAnswerError(RouterError):
-    """The bytes received are not an answer to the request."""
+    """The received data is not a valid response to the request."""
--- a/packages/router/src/lacewingspar_router/http1/exchange.py
+++ b/packages/router/src/lacewingspar_router/http1/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and its answer."""
+"""A caller's request and the response to it."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -13,13 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Limits on one connection.
+    """Limits of one connection.
 
     Attributes:
-        header_bytes: Largest head of a request.
-        body_bytes: Largest body of a request.
-        header_timeout_seconds: Longest time to send a head.
-        idle_timeout_seconds: Longest time without a byte.
+        header_bytes: Maximum size of the request headers.
+        body_bytes: Maximum size of the request body.
+        header_timeout_seconds: Maximum time to send the request headers.
+        idle_timeout_seconds: Maximum time between requests, or in which a body
+            makes no progress.
     """
 
     header_bytes: int = 16 * 1024
@@ -28,34 +29,36 @@
     idle_timeout_seconds: float = 15.0
 
 
-class AnswerSink(Protocol):
-    """Connection on which an answer is sent."""
+class ResponseConnection(Protocol):
+    """Connection on which a response is sent."""
 
     @property
     def must_close(self) -> bool:
-        """Return whether the connection ends with the present answer."""
+        """Return whether the connection closes after this response."""
 
     @property
     def can_write(self) -> bool:
-        """Return whether the caller has read enough."""
+        """Return whether the write buffer has room."""
 
     def write(self, data: bytes) -> None:
         """Send bytes."""
 
     async def async_drain(self) -> None:
-        """Wait until the caller has read enough."""
+        """Wait until the write buffer has room."""
 
 
 class ServerExchange:
-    """One request and its answer.
+    """Request and the response that is sent to it.
 
     Attributes:
         request: The request.
-        is_started: Whether the head of the answer was sent.
-        is_finished: Whether the answer is complete.
+        is_started: Whether the response head was sent.
+        is_finished: Whether the response is complete.
     """
 
-    def __init__(self, connection: AnswerSink, request: HttpRequest) -> None:
+    def __init__(
+        self, connection: ResponseConnection, request: HttpRequest
+    ) -> None:
         self.request = request
         self.is_started = False
         self.is_finished = False
@@ -65,34 +68,36 @@
     def start(
         self, status: int, headers: RawHeaders, *, length: int | None
     ) -> None:
-        """Send the head of an answer; without a length it is chunked."""
+        """Send the response head; without a length the body is chunked."""
         self.is_started = True
         self._is_chunked = length is None
-        self._connection.write(self._head(status, headers, length))
+        self._connection.write(self._encode_head(status, headers, length))
 
     def write(self, data: bytes) -> bool:
-        """Send a part of the body; return whether more may follow at once."""
+        """Send body data; return whether the write buffer has room."""
         if self._is_chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         self._connection.write(data)
         return self._connection.can_write
 
     async def async_drain(self) -> None:
-        """Wait until the caller has read enough."""
+        """Wait until the write buffer has room."""
         await self._connection.async_drain()
 
     def finish(self) -> None:
-        """Send the end of the answer."""
+        """Send the end of the response."""
         self.is_finished = True
         if self._is_chunked:
             self._connection.write(b"0\r\n\r\n")
 
     def answer(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a whole response."""
         self.is_started = self.is_finished = True
-        self._connection.write(self._head(status, headers, len(body)) + body)
+        self._connection.write(
+            self._encode_head(status, headers, len(body)) + body
+        )
 
-    def _head(
+    def _encode_head(
         self, status: int, headers: RawHeaders, length: int | None
     ) -> bytes:
         framed = list(headers)
--- a/packages/router/src/lacewingspar_router/http1/listener.py
+++ b/packages/router/src/lacewingspar_router/http1/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections at the pace at which callers open them."""
+"""Accepts connections in batches."""
 
 import asyncio
 import errno
@@ -11,16 +11,16 @@
 
 _LOGGER = structlog.get_logger(__name__)
 
-# Connections accepted in one turn of the event loop. Accepting one takes some
-# 0.1 ms, so that the requests under way wait for a few milliseconds.
-ACCEPT_BATCH = 32
-# Pause after the system has refused to accept for want of descriptors or
-# memory; connections that end in the meantime free some.
-EXHAUSTED_PAUSE_SECONDS = 0.05
-# A lack of resources is reported once in this time.
-EXHAUSTED_REPORT_SECONDS = 1.0
+# Connections accepted per iteration of the event loop. Accepting one takes
+# about 0.1 ms, so a batch delays requests in flight by a few milliseconds.
+ACCEPT_BATCH_SIZE = 32
+# Delay after `accept` failed, usually for lack of descriptors or memory, which
+# closing connections free in the meantime.
+ACCEPT_RETRY_SECONDS = 0.05
+# Failures to accept are logged at most once per interval.
+ACCEPT_ERROR_LOG_INTERVAL_SECONDS = 1.0
 
-_ERRORS_OF_EXHAUSTION = frozenset(
+_RESOURCE_EXHAUSTION_ERRNOS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 )
 
@@ -52,19 +52,18 @@
 
 
 class Listener:
-    """Listening socket that accepts all waiting connections at once.
+    """Listening socket that accepts the queued connections in batches.
 
-    The servers of the event loop accept one connection in each of its turns. A
-    busy loop makes few turns, and callers then wait in the queue of the
-    listener until they give up.
+    The event loop's own servers accept one connection per iteration. A busy
+    loop has few iterations, so callers would time out in the listen queue.
 
     Attributes:
-        accepted: Connections accepted since the start.
+        accepted: Number of connections accepted since the start.
 
     Args:
-        bound: Bound, non-blocking socket; the listener closes it.
-        factory: Makes the protocol of each connection.
-        backlog: Connections that may wait to be accepted.
+        bound: Bound, non-blocking socket, which the listener closes.
+        factory: Creates the protocol of each connection.
+        backlog: Maximum length of the listen queue.
     """
 
     def __init__(
@@ -75,11 +74,11 @@
         self._socket = bound
         self._factory = factory
         self._loop = asyncio.get_running_loop()
-        self._opening: set[asyncio.Task[None]] = set()
-        self._pause: asyncio.TimerHandle | None = None
-        self._reported_at = float("-inf")
+        self._opening_tasks: set[asyncio.Task[None]] = set()
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._logged_at = float("-inf")
         bound.listen(backlog)
-        self._resume()
+        self._start_accepting()
 
     @property
     def port(self) -> int:
@@ -87,51 +86,55 @@
         return int(self._socket.getsockname()[1])
 
     def close(self) -> None:
-        """Accept no more connections; those that are open stay."""
+        """Stop accepting connections; open connections stay open."""
         if not self._is_open:
             return
         self._is_open = False
-        if self._pause is not None:
-            self._pause.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         self._loop.remove_reader(self._socket)
         self._socket.close()
 
-    def _resume(self) -> None:
-        self._pause = None
+    def _start_accepting(self) -> None:
+        self._retry_timer = None
         self._loop.add_reader(self._socket, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPT_BATCH):
+        for _ in range(ACCEPT_BATCH_SIZE):
             try:
                 connection, _address = self._socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionError:
-                # The caller has left before its turn.
+                # The caller disconnected while its connection was queued.
                 continue
             except OSError as error:
-                self._note_failure(error)
+                self._handle_accept_failure(error)
                 return
             self.accepted += 1
             connection.setblocking(False)
             task = self._loop.create_task(self._async_open(connection))
-            self._opening.add(task)
-            task.add_done_callback(self._opening.discard)
+            self._opening_tasks.add(task)
+            task.add_done_callback(self._opening_tasks.discard)
 
-    def _note_failure(self, error: OSError) -> None:
-        """Pause, since the event loop would report the socket at once again."""
+    def _handle_accept_failure(self, error: OSError) -> None:
+        """Stop accepting for a while.
+
+        The socket stays readable after a failed `accept`, so the event loop
+        would otherwise call back at once.
+        """
         now = self._loop.time()
-        if now >= self._reported_at + EXHAUSTED_REPORT_SECONDS:
-            self._reported_at = now
+        if now >= self._logged_at + ACCEPT_ERROR_LOG_INTERVAL_SECONDS:
+            self._logged_at = now
             _LOGGER.error(
-                "connections cannot be accepted",
-                is_exhausted=error.errno in _ERRORS_OF_EXHAUSTION,
+                "failed to accept connections",
+                is_exhausted=error.errno in _RESOURCE_EXHAUSTION_ERRNOS,
                 reason=str(error),
                 accepted=self.accepted,
             )
         self._loop.remove_reader(self._socket)
-        self._pause = self._loop.call_later(
-            EXHAUSTED_PAUSE_SECONDS, self._resume
+        self._retry_timer = self._loop.call_later(
+            ACCEPT_RETRY_SECONDS, self._start_accepting
         )
 
     async def _async_open(self, connection: socket.socket) -> None:
@@ -139,4 +142,4 @@
             await self._loop.connect_accepted_socket(self._factory, connection)
         except OSError as error:
             connection.close()
-            _LOGGER.info("accepted connection has failed", reason=str(error))
+            _LOGGER.info("accepted connection failed", reason=str(error))
--- a/packages/router/src/lacewingspar_router/http1/messages.py
+++ b/packages/router/src/lacewingspar_router/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as they stand on the wire."""
+"""HTTP messages and their encoding."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A request that has been read completely.
+    """Request that was received completely.
 
     Attributes:
         method: Method in upper case.
         target: Path and query as received.
         headers: Names in lower case, and values.
         body: The whole body.
-        received_at: Time at which its first byte arrived, in seconds.
+        received_at: Time of the first byte, on the server's clock in seconds.
     """
 
     method: str
@@ -27,7 +27,7 @@
 
     @cached_property
     def value_by_header(self) -> dict[bytes, bytes]:
-        """Return the first value of each header by name."""
+        """Return the first value of each header."""
         values: dict[bytes, bytes] = {}
         for name, value in self.headers:
             values.setdefault(name, value)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Head of an answer.
+    """Status and headers of a response.
 
     Attributes:
         status: Status code.
@@ -54,12 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseEnd:
-    """The body of an answer is complete."""
+    """End of a response."""
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer.
+    """A whole response.
 
     Attributes:
         status: Status code.
@@ -73,14 +73,14 @@
 
 
 def encode_head(first_line: str, headers: RawHeaders) -> bytes:
-    """Return the head of a message."""
+    """Encode the first line and the headers of a message."""
     lines = [first_line.encode("latin-1")]
     lines += [name + b": " + value for name, value in headers]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def status_line(status: int) -> str:
-    """Return the first line of an answer."""
+    """Return the status line of a response."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
--- a/packages/router/src/lacewingspar_router/http1/server.py
+++ b/packages/router/src/lacewingspar_router/http1/server.py
@@ -1,4 +1,4 @@
-"""Server for the connections of callers."""
+"""HTTP/1.1 server for callers."""
 
 import heapq
 from collections.abc import Awaitable, Callable
@@ -12,56 +12,59 @@
 
 _LOGGER = structlog.get_logger(__name__)
 
-# Connections that may wait to be accepted. A busy router accepts some 500 a
-# second, and callers give a connection up after a second; those that would wait
-# longer are better off with another router.
+# Maximum length of the listen queue. A busy router accepts about 500
+# connections per second, and callers time out after a second. Callers that
+# would wait longer should connect to another router instead.
 LISTEN_BACKLOG = 128
-# Connections before a limit is set.
-NO_CONNECTION_LIMIT = 1_000_000
-# Idle connections that are closed at once, since the search for those that
-# have been idle longest reads all of them.
-CLOSED_AT_ONCE = 64
+# Effectively unlimited; applies until `most_connections` is set.
+DEFAULT_MAX_CONNECTIONS = 1_000_000
+# Idle connections closed together, because finding the longest idle ones scans
+# all connections.
+IDLE_CLOSE_BATCH_SIZE = 64
 
 
 Handler = Callable[[ServerExchange], Awaitable[None]]
-Screen = Callable[[HttpRequest], Response | None]
+EarlyResponder = Callable[[HttpRequest], Response | None]
 
 
-def _let_pass(_request: HttpRequest) -> Response | None:
-    """Refuse nothing."""
+def _no_early_response(_request: HttpRequest) -> Response | None:
+    """Let every request reach the handler."""
     return None
 
 
 class Http1Server:
-    """Server on one address.
+    """HTTP/1.1 server on one address.
 
     Attributes:
-        handler: Answers each request.
-        screen: Returns the answer to a request that is refused at once.
-        limits: Limits on connections; may be replaced at any time.
+        handler: Responds to each request.
+        early_responder: Returns a response to send without calling the handler,
+            or None.
+        limits: Limits of each connection; may be replaced at any time.
         connections: Open connections.
-        is_closing_connections: Whether answers end their connections.
-        most_connections: Open connections beyond which idle ones are closed.
+        is_closing_connections: Whether connections close after a response.
+        most_connections: Number of open connections above which idle ones are
+            closed.
 
     Args:
-        handler: Answers each request.
-        now: Clock for the arrival of requests, in seconds.
-        screen: Returns the answer to a request that is refused at once.
+        handler: Responds to each request.
+        now: Clock for the arrival times of requests, in seconds.
+        early_responder: Returns a response to send without calling the handler,
+            or None.
     """
 
     def __init__(
         self,
         handler: Handler,
         now: Callable[[], float],
-        screen: Screen = _let_pass,
+        early_responder: EarlyResponder = _no_early_response,
     ) -> None:
         self.handler = handler
-        self.screen = screen
+        self.early_responder = early_responder
         self.now = now
         self.limits = ConnectionLimits()
         self.connections: set[CallerConnection] = set()
         self.is_closing_connections = False
-        self.most_connections = NO_CONNECTION_LIMIT
+        self.most_connections = DEFAULT_MAX_CONNECTIONS
         self._listener: Listener | None = None
 
     async def async_start(self, address: str) -> None:
@@ -89,11 +92,11 @@
 
     @property
     def busy_connections(self) -> int:
-        """Return the number of connections with a request under way."""
+        """Return the number of connections with a request in flight."""
         return sum(not item.is_idle for item in self.connections)
 
     def add(self, connection: CallerConnection) -> None:
-        """Take over a new connection, in place of idle ones if need be."""
+        """Register a new connection; close idle ones above the limit."""
         self.connections.add(connection)
         if len(self.connections) > self.most_connections:
             self._close_longest_idle()
@@ -101,16 +104,16 @@
     def _close_longest_idle(self) -> None:
         idle = [item for item in self.connections if item.is_idle]
         longest_idle = heapq.nsmallest(
-            CLOSED_AT_ONCE, idle, key=lambda item: item.active_at
+            IDLE_CLOSE_BATCH_SIZE, idle, key=lambda item: item.last_active_at
         )
         if not longest_idle:
             return
         for connection in longest_idle:
-            # The transport tells only in a later turn that it is closed.
+            # `connection_lost` is called only in a later loop iteration.
             self.connections.discard(connection)
             connection.close()
         _LOGGER.info(
-            "idle connections closed for new ones",
+            "idle connections closed to make room",
             closed=len(longest_idle),
             idle=len(idle),
             connections=len(self.connections),
@@ -118,12 +121,12 @@
         )
 
     def stop_listening(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self._listener is not None:
             self._listener.close()
 
     def close_idle(self) -> None:
-        """Close the connections without a request under way."""
+        """Close the connections without a request in flight."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close()
--- a/packages/router/src/lacewingspar_router/platform/__init__.py
+++ b/packages/router/src/lacewingspar_router/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the users' platform; nothing else knows its names."""
+"""Adapter to the users' platform; the only package with its wire names."""
 
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.forwarding.models import WIRE_FORMAT
@@ -14,7 +14,7 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Make the store and the wire format available to the components."""
+    """Register the routing source and the wire format of the platform."""
     store = PlatformStore(
         app.settings.log_service_url.removeprefix("http://").rstrip("/")
     )
@@ -25,7 +25,7 @@
             configuration=StoreTopic(store, names.TOPIC_CONFIGURATION),
             configuration_key=names.KEY_CONFIGURATION,
             upstreams=StoreTopic(store, names.TOPIC_UPSTREAMS),
-            members=StoreTopic(store, names.TOPIC_ROUTERS),
+            routers=StoreTopic(store, names.TOPIC_ROUTERS),
             decode_configuration=decode_configuration,
             decode_upstream=decode_upstream,
         ),
--- a/packages/router/src/lacewingspar_router/platform/manifest.py
+++ b/packages/router/src/lacewingspar_router/platform/manifest.py
@@ -18,27 +18,27 @@
 
 _BITS_PER_BYTE = 8
 _BITS_PER_MEGABIT = 1_000_000
-# Where a route names no limits, those of the longest requests apply.
+# Defaults of routes without limits suit the longest requests.
 _DEFAULT_TIMEOUT_MS = 60_000.0
-_DEFAULT_AIM_MS = 1000.0
+_DEFAULT_TARGET_LATENCY_MS = 1000.0
 _DEFAULT_LIMITS = CallerLimits()
-# Callers give a stream up, also before its first event, after the longest of
-# these: a time, so many times the aim, and so many times the longest pause in
-# time. Source: the platform's page on requests.
-_LEAST_PATIENCE_SECONDS = 2.0
-_PATIENCE_PER_AIM = 4.0
-_PATIENCE_PER_PAUSE = 8.0
+# According to the platform's page on requests, a caller abandons a stream, also
+# before its first event, after the longest of: a minimum, a multiple of the
+# latency target, and a multiple of the largest event gap that meets its target.
+_MIN_FIRST_CHUNK_TIMEOUT_SECONDS = 2.0
+_FIRST_CHUNK_TIMEOUT_PER_LATENCY_TARGET = 4.0
+_FIRST_CHUNK_TIMEOUT_PER_EVENT_GAP = 8.0
 
 
 class _Kind(StrEnum):
-    """Kinds of routes as the platform spells them."""
+    """Kinds of routes in the platform's configuration."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
     STREAMING = "streaming"
 
 
-_KIND_BY_WORD = {
+_ROUTE_KIND_BY_NAME = {
     _Kind.IDEMPOTENT: RouteKind.IDEMPOTENT,
     _Kind.NON_IDEMPOTENT: RouteKind.NON_IDEMPOTENT,
     _Kind.STREAMING: RouteKind.STREAM,
@@ -58,20 +58,20 @@
     service: str = ""
     traffic_split: tuple[_Split, ...] = ()
     timeout_ms: float = _DEFAULT_TIMEOUT_MS
-    target_latency_ms: float = _DEFAULT_AIM_MS
+    target_latency_ms: float = _DEFAULT_TARGET_LATENCY_MS
     priority: int = 0
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
-    gap_aim_ms: float = _DEFAULT_AIM_MS
+    gap_aim_ms: float = _DEFAULT_TARGET_LATENCY_MS
 
 
 class _Engine(msgspec.Struct, frozen=True, rename="camel"):
     slots: int
     kv_tokens: int
-    # Bytes of one token in an engine's memory.
+    # KV cache size of one token, in bytes.
     kv_bytes: float = 0.0
-    # Rate of copies between two engines, in megabits a second.
+    # Bandwidth between two engines, in megabits per second.
     link_mbps: float = 0.0
 
 
@@ -85,7 +85,7 @@
     max_body_bytes: int = _DEFAULT_LIMITS.body_bytes
     header_timeout_ms: float = _DEFAULT_LIMITS.header_timeout_seconds * 1000
     idle_timeout_ms: float = _DEFAULT_LIMITS.idle_timeout_seconds * 1000
-    # What all engines together read and write; a written token counts twice.
+    # Token throughput of all engines together; an output token counts twice.
     tokens_per_s: float = 0.0
 
 
@@ -106,7 +106,7 @@
 
 
 def decode_configuration(data: bytes) -> Result[RoutingConfiguration, str]:
-    """Return the configuration that some bytes hold, or what is wrong."""
+    """Decode a configuration, or return what is wrong with it."""
     try:
         manifest = _DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -115,9 +115,9 @@
     return Success(
         RoutingConfiguration(
             version=manifest.version,
-            routes=tuple(_route(item) for item in manifest.routes),
+            routes=tuple(_build_route(item) for item in manifest.routes),
             service_by_name={
-                item.name: _service(item) for item in manifest.services
+                item.name: _build_service(item) for item in manifest.services
             },
             workspace_by_key={
                 key: tenant.name
@@ -135,11 +135,11 @@
     )
 
 
-def _route(item: _Route) -> Route:
+def _build_route(item: _Route) -> Route:
     targets = tuple(
         RouteTarget(split.service, split.weight) for split in item.traffic_split
     )
-    kind = _KIND_BY_WORD[item.kind]
+    kind = _ROUTE_KIND_BY_NAME[item.kind]
     return Route(
         name=item.name,
         host=item.host.lower(),
@@ -154,20 +154,20 @@
         is_resumable=item.resumable,
         pause_aim_seconds=item.gap_aim_ms / 1000,
         patience_seconds=(
-            _stream_patience(item) if kind is RouteKind.STREAM else math.inf
+            _first_chunk_timeout(item) if kind is RouteKind.STREAM else math.inf
         ),
     )
 
 
-def _stream_patience(item: _Route) -> float:
+def _first_chunk_timeout(item: _Route) -> float:
     return max(
-        _LEAST_PATIENCE_SECONDS,
-        _PATIENCE_PER_AIM * item.target_latency_ms / 1000,
-        _PATIENCE_PER_PAUSE * item.gap_aim_ms / 1000,
+        _MIN_FIRST_CHUNK_TIMEOUT_SECONDS,
+        _FIRST_CHUNK_TIMEOUT_PER_LATENCY_TARGET * item.target_latency_ms / 1000,
+        _FIRST_CHUNK_TIMEOUT_PER_EVENT_GAP * item.gap_aim_ms / 1000,
     )
 
 
-def _service(item: _Service) -> UpstreamService:
+def _build_service(item: _Service) -> UpstreamService:
     engine = item.engine
     profile = None
     if engine is not None:
--- a/packages/router/src/lacewingspar_router/platform/names.py
+++ b/packages/router/src/lacewingspar_router/platform/names.py
@@ -1,22 +1,22 @@
-"""Names of headers, calls and words on the platform's wire."""
+"""Wire names of the platform: headers, calls and topics."""
 
-# Headers of callers' requests.
+# Request headers set by callers.
 HEADER_REQUEST_ID = b"x-attempt-id"
 HEADER_TIME_LEFT_MS = b"x-time-budget-ms"
 HEADER_AUTHORIZATION = b"authorization"
-# Number of prompt tokens and largest number of output tokens.
+# Number of prompt tokens and maximum number of output tokens.
 HEADER_TOKEN_COUNTS = b"x-token-counts"
-# Estimate of the output tokens; often far off.
+# Estimated number of output tokens; often inaccurate.
 HEADER_OUTPUT_ESTIMATE = b"x-length-hint"
-# Parts of the prompt in order, each `ID:TOKENS`; the last one is not shared.
+# Parts of the prompt in order, each `ID:TOKENS`. The last one is not shared.
 HEADER_PROMPT_PARTS = b"x-prompt-prefix"
 HEADER_LAST_EVENT_ID = b"last-event-id"
 
-# Set by a router that hands a request over to another one: milliseconds since
-# it arrived.
+# Milliseconds since the request arrived; set by a router that hands the request
+# over to another router.
 HEADER_HANDED_OVER_MS = b"x-lacewingspar-waited-ms"
 
-# Headers that only the router sets on requests to upstreams.
+# Headers of requests to upstreams that only the router sets.
 HEADER_WORKSPACE = b"x-tenant"
 HEADER_EXPECTED_UPSTREAM = b"x-expect-instance"
 HEADER_FETCH_PARTS_FROM = b"kv-fetch"
@@ -39,16 +39,16 @@
     }
 )
 
-# Headers of upstreams' answers.
-# Proof that the answer is the upstream's own.
-HEADER_SEAL = b"x-server-seal"
+# Response headers set by upstreams.
+# Present if the upstream itself produced the response.
+HEADER_SERVER_SEAL = b"x-server-seal"
 HEADER_NOT_RUN = b"x-not-executed"
 HEADER_CONTENT_ENCODING = b"content-encoding"
 
 AUTHORIZATION_SCHEME = "token "
 EVENT_STREAM = b"text/event-stream"
 
-# Calls of the store.
+# Paths of the log service.
 CALL_APPEND = "/log-append"
 CALL_READ = "/log-read"
 CALL_NEWEST = "/log-newest"
@@ -56,5 +56,5 @@
 TOPIC_CONFIGURATION = "keyed.op"
 KEY_CONFIGURATION = "config"
 TOPIC_UPSTREAMS = "keyed.servers"
-# Topic of the routers' own.
+# Topic in which routers register.
 TOPIC_ROUTERS = "keyed.lacewingspar-routers"
--- a/packages/router/src/lacewingspar_router/platform/store.py
+++ b/packages/router/src/lacewingspar_router/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store."""
+"""Client of the platform's log service."""
 
 import asyncio
 import base64
@@ -27,29 +27,30 @@
 from lacewingspar_router.http1.messages import Response, encode_head
 from lacewingspar_router.platform import names
 
-# The store answers within milliseconds; one that takes longer than this on top
-# of the time that a read may wait is treated as out of reach.
+# Response timeout in addition to the long-poll duration of a read. The service
+# normally responds within milliseconds.
 CALL_TIMEOUT_SECONDS = 0.8
-LARGEST_ANSWER_BYTES = 16 * 1024 * 1024
-# Idle time after which a connection may have gone silent unnoticed.
-IDLE_SECONDS = 3.0
-_READ_KILOBYTES = 1024
-_LENGTH = struct.Struct(">I")
-_HEAD = struct.Struct(">QQ")
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+# Connections that were idle for longer are not reused: they may be dead without
+# an error.
+MAX_IDLE_SECONDS = 3.0
+_MAX_READ_KILOBYTES = 1024
+_LENGTH_PREFIX = struct.Struct(">I")
+_RECORDS_HEADER = struct.Struct(">QQ")
 _STATUS_OK = 200
 _STATUS_GONE = 410
 
 
 class _Item(msgspec.Struct, frozen=True):
     key: str
-    # Base64.
+    # Base64-encoded.
     value: str
     offset: int
 
 
 class _Page(msgspec.Struct, frozen=True):
     items: tuple[_Item, ...]
-    # Whether more keys follow the last one.
+    # Whether another page follows.
     truncated: bool
     end: int
 
@@ -58,10 +59,10 @@
 
 
 class PlatformStore:
-    """Calls to the store.
+    """Client of the log service.
 
     Args:
-        address: `host:port` of the store.
+        address: `host:port` of the service.
     """
 
     def __init__(self, address: str) -> None:
@@ -75,11 +76,18 @@
         body: bytes = b"",
         wait_seconds: float = 0.0,
     ) -> Response:
-        """Make one call.
+        """Send one request and return the response.
+
+        Args:
+            method: HTTP method.
+            path: Path of the call.
+            query: Query parameters.
+            body: Request body.
+            wait_seconds: Long-poll duration, added to the response timeout.
 
         Raises:
-            TopicUnavailableError: There was no answer; the call may have been
-                executed, and may still be.
+            TopicUnavailableError: There was no response. The call may have been
+                executed, or may still be.
         """
         target = f"{path}?{urlencode(query)}"
         headers = [
@@ -88,13 +96,13 @@
         ]
         data = encode_head(f"{method} {target} HTTP/1.1", headers) + body
         try:
-            connection = await self._pool.async_take(IDLE_SECONDS)
+            connection = await self._pool.async_take(MAX_IDLE_SECONDS)
         except ConnectionFailedError as error:
             raise TopicUnavailableError(str(error)) from error
         try:
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS + wait_seconds):
                 response = await async_exchange(
-                    connection, data, LARGEST_ANSWER_BYTES
+                    connection, data, MAX_RESPONSE_BYTES
                 )
         except (
             TimeoutError,
@@ -102,7 +110,7 @@
             InvalidAnswerError,
         ) as error:
             connection.abort()
-            reason = str(error) or "no answer in time"
+            reason = str(error) or "response timed out"
             raise TopicUnavailableError(f"{path}: {reason}") from error
         except BaseException:
             connection.abort()
@@ -122,7 +130,7 @@
         name: Name of the topic.
 
     Args:
-        store: Calls to the store.
+        store: Client of the log service.
         name: Name of the topic.
     """
 
@@ -131,20 +139,21 @@
         self._store = store
         self._query: dict[str, str | int] = {"topic": name, "part": 0}
 
-    async def async_newest(self) -> TopicListing:
+    async def async_read_newest(self) -> TopicListing:
         """Return the newest record of each key.
 
         Raises:
-            TopicUnavailableError: The log cannot be read now.
+            TopicUnavailableError: The log service is unavailable.
         """
         records: dict[str, KeyedRecord] = {}
-        # Records that arrive between two pages are read from the first end on.
+        # The end of the first page: records appended while the pages are read
+        # are then read from there.
         end: int | None = None
         query = dict(self._query)
         while True:
             page = await self._async_page(query)
             end = page.end if end is None else end
-            records |= {item.key: _record(item) for item in page.items}
+            records |= {item.key: _decode_item(item) for item in page.items}
             if not page.truncated or not page.items:
                 return TopicListing(records, end)
             query["after"] = page.items[-1].key
@@ -155,27 +164,30 @@
         """Return the records from an offset on, waiting for the first.
 
         Raises:
-            TopicUnavailableError: The log cannot be read now.
+            TopicUnavailableError: The log service is unavailable.
             TopicTruncatedError: Records after the offset were dropped.
         """
         query = self._query | {
             "from": from_offset,
-            "maxKb": _READ_KILOBYTES,
+            "maxKb": _MAX_READ_KILOBYTES,
             "waitMs": round(wait_seconds * 1000),
         }
         response = await self._store.async_call(
             "GET", names.CALL_READ, query, wait_seconds=wait_seconds
         )
         if response.status == _STATUS_GONE:
-            raise TopicTruncatedError(f"offset {from_offset} was dropped")
-        _check(names.CALL_READ, response)
+            raise TopicTruncatedError(
+                f"records from offset {from_offset} were dropped"
+            )
+        _raise_for_status(names.CALL_READ, response)
         return _decode_records(response.body, from_offset)
 
     async def async_append(self, key: str, value: bytes) -> None:
-        """Append a record; the write is repeatable.
+        """Append a record; safe to retry.
 
         Raises:
-            TopicUnavailableError: The record may or may not be appended.
+            TopicUnavailableError: The log service is unavailable. The record
+                may have been appended.
         """
         encoded = key.encode()
         content = bytes([len(encoded)]) + encoded + value
@@ -183,46 +195,48 @@
             "POST",
             names.CALL_APPEND,
             self._query,
-            _LENGTH.pack(len(content)) + content,
+            _LENGTH_PREFIX.pack(len(content)) + content,
         )
-        _check(names.CALL_APPEND, response)
+        _raise_for_status(names.CALL_APPEND, response)
 
     async def _async_page(self, query: dict[str, str | int]) -> _Page:
         response = await self._store.async_call("GET", names.CALL_NEWEST, query)
-        _check(names.CALL_NEWEST, response)
+        _raise_for_status(names.CALL_NEWEST, response)
         try:
             return _PAGE_DECODER.decode(response.body)
         except msgspec.MsgspecError as error:
-            raise TopicUnavailableError(f"unreadable page: {error}") from error
+            raise TopicUnavailableError(
+                f"invalid listing page: {error}"
+            ) from error
 
 
-def _check(call: str, response: Response) -> None:
+def _raise_for_status(call: str, response: Response) -> None:
     if response.status != _STATUS_OK:
         raise TopicUnavailableError(f"{call}: status {response.status}")
 
 
-def _record(item: _Item) -> KeyedRecord:
+def _decode_item(item: _Item) -> KeyedRecord:
     try:
         value = base64.b64decode(item.value, validate=True)
     except binascii.Error as error:
-        raise TopicUnavailableError(f"unreadable value: {error}") from error
+        raise TopicUnavailableError(f"invalid record value: {error}") from error
     return KeyedRecord(item.key, value, item.offset)
 
 
 def _decode_records(data: bytes, from_offset: int) -> TopicRecords:
-    """Decode records behind the end and the first retained offset."""
-    if len(data) < _HEAD.size:
-        raise TopicUnavailableError("unreadable records: no offsets")
+    """Decode records that follow a header of two offsets."""
+    if len(data) < _RECORDS_HEADER.size:
+        raise TopicUnavailableError("invalid records: incomplete header")
     records: list[KeyedRecord] = []
-    position, offset = _HEAD.size, from_offset
+    position, offset = _RECORDS_HEADER.size, from_offset
     while position < len(data):
-        if position + _LENGTH.size > len(data):
-            raise TopicUnavailableError("unreadable records: cut length")
-        (length,) = _LENGTH.unpack_from(data, position)
-        position += _LENGTH.size
+        if position + _LENGTH_PREFIX.size > len(data):
+            raise TopicUnavailableError("invalid records: incomplete length")
+        (length,) = _LENGTH_PREFIX.unpack_from(data, position)
+        position += _LENGTH_PREFIX.size
         content = data[position : position + length]
         if len(content) < length or not content:
-            raise TopicUnavailableError("unreadable records: cut content")
+            raise TopicUnavailableError("invalid records: incomplete content")
         position += length
         key_end = 1 + content[0]
         key = content[1:key_end].decode("utf-8", "replace")
--- a/packages/router/src/lacewingspar_router/platform/upstream_list.py
+++ b/packages/router/src/lacewingspar_router/platform/upstream_list.py
@@ -1,4 +1,4 @@
-"""Decodes the entries with which upstreams register."""
+"""Decodes the registrations of upstreams."""
 
 import ipaddress
 
@@ -7,19 +7,19 @@
 
 from lacewingspar_core.directory import UpstreamEntry, UpstreamState
 
-_LARGEST_PORT = 65_535
+_MAX_PORT = 65_535
 
 
 class _Entry(msgspec.Struct, frozen=True, rename="camel"):
     service: str
     address: str
-    # The upstream's data centre.
+    # Data centre of the upstream.
     zone: str
     slots: int
     state: UpstreamState
-    # Number of the report; starts anew with each life of the upstream.
+    # Number of the registration; restarts with the upstream process.
     sequence: int
-    # Start of the upstream's life, in milliseconds since the epoch.
+    # Start time of the upstream process, in milliseconds since the epoch.
     born: int = 0
     cold_remaining_ms: float = 0.0
 
@@ -30,7 +30,7 @@
 def decode_upstream(
     upstream_id: str, data: bytes
 ) -> Result[UpstreamEntry, str]:
-    """Return the entry that some bytes hold, or what is wrong with it."""
+    """Decode an upstream entry, or return what is wrong with it."""
     try:
         entry = _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -60,4 +60,4 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port) <= _LARGEST_PORT
+    return port.isascii() and port.isdigit() and 0 < int(port) <= _MAX_PORT
--- a/packages/router/src/lacewingspar_router/platform/wire_format.py
+++ b/packages/router/src/lacewingspar_router/platform/wire_format.py
@@ -1,4 +1,4 @@
-"""Requests of callers and answers of upstreams on the platform's wire."""
+"""Encodes and decodes the platform's request and response headers."""
 
 from lacewingspar_core.directory import UpstreamEntry
 from lacewingspar_core.prefix_memory import PromptPart
@@ -18,50 +18,51 @@
 from lacewingspar_router.http_headers import RawHeaders, end_to_end_headers
 from lacewingspar_router.platform import names
 
-# Expected part of the largest number of output tokens, without an estimate.
-_OUTPUT_FRACTION = 0.5
+# Expected fraction of the maximum number of output tokens if the caller sends
+# no estimate.
+_DEFAULT_OUTPUT_FRACTION = 0.5
 _STATUS_MISDIRECTED = 421
 
 
 class PlatformWireFormat:
-    """The platform's spelling of requests and answers."""
+    """Implements the wire format of the platform."""
 
     def read_identity(self, request: HttpRequest) -> CallerIdentity:
-        """Return who sends a request; it costs less than all its fields."""
+        """Return the caller's identity; cheaper than `read_fields`."""
         values = request.value_by_header
         return CallerIdentity(
-            request_id=_text(values, names.HEADER_REQUEST_ID),
+            request_id=_header_text(values, names.HEADER_REQUEST_ID),
             host=_host(values),
             key=_key(values),
             time_left_seconds=_time_left(values),
         )
 
     def read_fields(self, request: HttpRequest) -> CallerFields:
-        """Return what the headers of a request say.
+        """Return the fields of the request headers.
 
         Raises:
-            RequestRefusedError: A header that is needed cannot be read.
+            RequestRefusedError: A required header is invalid.
         """
         values = request.value_by_header
         shared, own = _prompt(values)
         output = _output_tokens(values)
         return CallerFields(
-            request_id=_text(values, names.HEADER_REQUEST_ID),
+            request_id=_header_text(values, names.HEADER_REQUEST_ID),
             host=_host(values),
             key=_key(values),
             time_left_seconds=_time_left(values),
             shared_parts=shared,
             own_tokens=own,
             output_tokens=output,
-            last_event_id=_integer(values, names.HEADER_LAST_EVENT_ID),
+            last_event_id=_header_integer(values, names.HEADER_LAST_EVENT_ID),
             handed_over_after_seconds=_handed_over_after(values),
         )
 
     def router_request(
         self, request: HttpRequest, waited_seconds: float
     ) -> bytes:
-        """Return a request as it is handed over to another router."""
-        headers = end_to_end_headers(request.headers, _REWRITTEN)
+        """Encode a request that is handed over to another router."""
+        headers = end_to_end_headers(request.headers, _REWRITTEN_HEADERS)
         waited_ms = max(0, int(waited_seconds * 1000))
         headers.append((names.HEADER_HANDED_OVER_MS, b"%d" % waited_ms))
         headers.append((b"content-length", b"%d" % len(request.body)))
@@ -76,7 +77,7 @@
         resume_after: int | None,
         fetch_from: str,
     ) -> bytes:
-        """Return a request as it is sent to an upstream."""
+        """Encode a request to an upstream."""
         request = call.request
         headers = end_to_end_headers(request.headers, names.ROUTER_HEADERS)
         time_left_ms = max(1, int(time_left_seconds * 1000))
@@ -98,7 +99,7 @@
     def read_answer(
         self, call: Call, upstream: UpstreamEntry, head: ResponseHead
     ) -> AnswerFacts:
-        """Return what the head of an answer says."""
+        """Interpret the status and headers of a response."""
         del upstream
         values = dict(head.headers)
         answered_id = values.get(names.HEADER_REQUEST_ID)
@@ -110,7 +111,8 @@
                 answered_id is None
                 or answered_id.decode("latin-1") == call.fields.request_id
             ),
-            is_genuine=names.HEADER_SEAL in values and answered_id is not None,
+            is_genuine=names.HEADER_SERVER_SEAL in values
+            and answered_id is not None,
             is_not_run=is_not_run,
             is_wrong_upstream=is_wrong,
             is_event_stream=content_type.startswith(names.EVENT_STREAM),
@@ -121,11 +123,11 @@
         )
 
     def answer_headers(self, headers: RawHeaders) -> RawHeaders:
-        """Return the headers of an upstream's answer for the caller."""
+        """Return the upstream's response headers to pass on to the caller."""
         return end_to_end_headers(headers, frozenset({b"content-length"}))
 
     def refusal(self, error: RequestRefusedError, request_id: str) -> Response:
-        """Return the answer to a request that was refused or has failed."""
+        """Return the response to a request that was refused or failed."""
         headers: RawHeaders = [(b"content-type", b"text/plain")]
         if request_id:
             headers.append((names.HEADER_REQUEST_ID, request_id.encode()))
@@ -136,35 +138,35 @@
         return Response(error.status, headers, body)
 
 
-_REWRITTEN = frozenset(
+_REWRITTEN_HEADERS = frozenset(
     {names.HEADER_HANDED_OVER_MS, b"content-length", b"expect"}
 )
 _METHODS_WITHOUT_BODY = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 
 
-def _text(values: dict[bytes, bytes], name: bytes) -> str:
+def _header_text(values: dict[bytes, bytes], name: bytes) -> str:
     return values.get(name, b"").decode("latin-1").strip()
 
 
-def _integer(values: dict[bytes, bytes], name: bytes) -> int | None:
-    text = _text(values, name)
+def _header_integer(values: dict[bytes, bytes], name: bytes) -> int | None:
+    text = _header_text(values, name)
     return int(text) if text.isascii() and text.isdigit() else None
 
 
 def _host(values: dict[bytes, bytes]) -> str:
-    host = _text(values, b"host").lower()
+    host = _header_text(values, b"host").lower()
     return host.partition(":")[0]
 
 
 def _key(values: dict[bytes, bytes]) -> str:
-    authorization = _text(values, names.HEADER_AUTHORIZATION)
+    authorization = _header_text(values, names.HEADER_AUTHORIZATION)
     if not authorization.lower().startswith(names.AUTHORIZATION_SCHEME):
         return ""
     return authorization[len(names.AUTHORIZATION_SCHEME) :].strip()
 
 
 def _time_left(values: dict[bytes, bytes]) -> float | None:
-    text = _text(values, names.HEADER_TIME_LEFT_MS)
+    text = _header_text(values, names.HEADER_TIME_LEFT_MS)
     try:
         seconds = float(text) / 1000
     except ValueError:
@@ -173,14 +175,14 @@
 
 
 def _handed_over_after(values: dict[bytes, bytes]) -> float | None:
-    waited_ms = _integer(values, names.HEADER_HANDED_OVER_MS)
+    waited_ms = _header_integer(values, names.HEADER_HANDED_OVER_MS)
     return None if waited_ms is None else waited_ms / 1000
 
 
 def _prompt(values: dict[bytes, bytes]) -> tuple[tuple[PromptPart, ...], int]:
-    """Return the shared parts of a prompt and its further tokens."""
+    """Return the shared parts of a prompt and the number of other tokens."""
     parts: list[PromptPart] = []
-    for item in _text(values, names.HEADER_PROMPT_PARTS).split(","):
+    for item in _header_text(values, names.HEADER_PROMPT_PARTS).split(","):
         identity, _, tokens = item.strip().partition(":")
         try:
             parts.append(PromptPart(int(identity, 16), int(tokens)))
@@ -195,7 +197,9 @@
 
 
 def _token_counts(values: dict[bytes, bytes]) -> tuple[int, int]:
-    prompt, _, output = _text(values, names.HEADER_TOKEN_COUNTS).partition(",")
+    prompt, _, output = _header_text(
+        values, names.HEADER_TOKEN_COUNTS
+    ).partition(",")
     counts = [
         int(text) if text.strip().isdigit() else 0 for text in (prompt, output)
     ]
@@ -203,8 +207,8 @@
 
 
 def _output_tokens(values: dict[bytes, bytes]) -> int:
-    estimate = _integer(values, names.HEADER_OUTPUT_ESTIMATE)
+    estimate = _header_integer(values, names.HEADER_OUTPUT_ESTIMATE)
     _, largest = _token_counts(values)
     if estimate is not None:
         return min(estimate, largest) if largest else estimate
-    return int(largest * _OUTPUT_FRACTION)
+    return int(largest * _DEFAULT_OUTPUT_FRACTION)
--- a/tests/router/connections.py
+++ b/tests/router/connections.py
@@ -1,4 +1,4 @@
-"""Connections of the callers in tests."""
+"""Connections of callers in tests."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
     """Open a connection without the router's connect timeout.
 
     A busy machine may suspend the test process for longer than that timeout,
-    which limits the connections of routers, not those of callers.
+    which applies to routers, not to callers.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
--- a/tests/router/deployed/test_reading.py
+++ b/tests/router/deployed/test_reader_role.py
@@ -1,4 +1,4 @@
-"""Few routers of a data centre read the log; the others follow them."""
+"""Readers of the log, and the routers that follow them."""
 
 import asyncio
 from unittest import mock
@@ -24,13 +24,13 @@
 ROUTERS = 5
 
 
-def state_of(app: Application) -> RoutingState:
+def routing_state_of(app: Application) -> RoutingState:
     state = app.get(ROUTING)
     assert isinstance(state, RoutingState)
     return state
 
 
-def knows_fleet(app: Application) -> bool:
+def knows_all_routers(app: Application) -> bool:
     alive = app.get(PEERS).alive_by_router_id.values()
     serving = [item for item in alive if item.state is RouterState.SERVING]
     return len(serving) == ROUTERS
@@ -48,11 +48,13 @@
 
 @pytest.fixture
 async def fleet(served: Deployment) -> Deployment:
-    """Return a deployment in which five routers know one another."""
+    """Return a deployment of five routers that have discovered each other."""
     for number in range(ROUTERS):
         seeds = [app.settings.peer_address for app in served.apps[:1]]
         await served.add_router(f"r{number}", seed_hosts=seeds)
-    await until(lambda: all(knows_fleet(app) for app in served.apps), 10.0)
+    await until(
+        lambda: all(knows_all_routers(app) for app in served.apps), 10.0
+    )
     return served
 
 
@@ -65,26 +67,27 @@
 async def test_calls_do_not_grow_with_the_routers(fleet: Deployment) -> None:
     """Guards against a fleet that overloads the log service.
 
-    A reader makes some 2 reads a second here, one of each topic.
+    Each reader makes about 2 reads a second here, one per topic.
     """
-    await asyncio.sleep(2 * const.CONFIRMATION_SECONDS)
+    await asyncio.sleep(2 * const.READER_CONFIRMATION_TIMEOUT_SECONDS)
     limit = const.READERS_PER_DATA_CENTRE * 2.5
     assert await reads_per_second(fleet, 2.0) <= limit
 
 
 async def test_followers_get_versions_and_upstreams(fleet: Deployment) -> None:
-    await asyncio.sleep(2 * const.CONFIRMATION_SECONDS)
+    await asyncio.sleep(2 * const.READER_CONFIRMATION_TIMEOUT_SECONDS)
     fleet.publish(manifest(7))
     await until(
         lambda: all(
-            state_of(app).configuration_version == 7 for app in fleet.apps
+            routing_state_of(app).configuration_version == 7
+            for app in fleet.apps
         ),
         1.0,
     )
     fleet.register("p1", "plain", "draining")
     await until(
         lambda: all(
-            "p1" not in state_of(app).directory.usable("plain")
+            "p1" not in routing_state_of(app).directory.usable("plain")
             for app in fleet.apps
         ),
         1.5,
@@ -92,8 +95,8 @@
 
 
 async def test_lost_readers_are_replaced(fleet: Deployment) -> None:
-    """Guards against followers that wait for readers which are gone."""
-    await asyncio.sleep(2 * const.CONFIRMATION_SECONDS)
+    """Guards against followers that keep waiting for stopped readers."""
+    await asyncio.sleep(2 * const.READER_CONFIRMATION_TIMEOUT_SECONDS)
     lost = readers(fleet.apps)
     assert len(lost) == const.READERS_PER_DATA_CENTRE
     for app in lost:
@@ -102,32 +105,37 @@
     fleet.publish(manifest(8))
     left = [app for app in fleet.apps if app not in lost]
     await until(
-        lambda: all(state_of(app).configuration_version == 8 for app in left),
+        lambda: all(
+            routing_state_of(app).configuration_version == 8 for app in left
+        ),
         2.0,
     )
 
 
-async def test_followers_learn_after_an_outage(fleet: Deployment) -> None:
+async def test_followers_get_versions_after_an_outage(
+    fleet: Deployment,
+) -> None:
     fleet.store.faults.outage = True
     fleet.store.faults_changed()
-    await asyncio.sleep(2 * const.CONFIRMATION_SECONDS)
+    await asyncio.sleep(2 * const.READER_CONFIRMATION_TIMEOUT_SECONDS)
     before = sum(fleet.store.calls.values())
     await asyncio.sleep(2.0)
     calls = sum(fleet.store.calls.values()) - before
-    # Two topics; a reader pauses for 0.15 s at the least, others for 0.75 s.
+    # Two topics. Retries wait 0.15 s or more at readers, 0.75 s at others.
     assert calls <= 2 * 2.0 * (2 / 0.15 + 3 / 0.75)
     fleet.store.faults.outage = False
     fleet.publish(manifest(9))
     await until(
         lambda: all(
-            state_of(app).configuration_version == 9 for app in fleet.apps
+            routing_state_of(app).configuration_version == 9
+            for app in fleet.apps
         ),
         2.0,
     )
 
 
-class _Bed:
-    """States of a reader and of a router that follows it."""
+class _ReaderAndFollower:
+    """State of a reader and of a router that follows it."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -144,9 +152,9 @@
             state.apply_upstream_listing(TopicListing(records, 2))
         self.now += 10.0
 
-    def relay(self) -> int:
-        """Hand over what the follower lacks; return the number of records."""
-        records = self.reader.records_after(self.follower.directory_offset)
+    def copy_changes(self) -> int:
+        """Copy the missing records to the follower and return their number."""
+        records = self.reader.records_since(self.follower.directory_offset)
         self.follower.apply_upstream_records(
             records,
             self.reader.directory_offset,
@@ -156,44 +164,47 @@
         return len(records)
 
 
-def test_reports_without_news_are_not_relayed() -> None:
-    bed = _Bed()
+def test_renewals_without_changes_are_not_sent() -> None:
+    pair = _ReaderAndFollower()
     renewed = [KeyedRecord("u1", entry(2), 2), KeyedRecord("u2", entry(2), 3)]
-    bed.reader.apply_upstream_records(renewed, 4, "log")
-    assert bed.reader.changed_offset == 2
-    assert bed.relay() == 0
+    pair.reader.apply_upstream_records(renewed, 4, "log")
+    assert pair.reader.changed_offset == 2
+    assert pair.copy_changes() == 0
     changed = msgspec.json.encode(msgspec.json.decode(entry(3)) | {"slots": 9})
     record = KeyedRecord("u1", changed, 4)
-    bed.reader.apply_upstream_records([record], 5, "log")
-    assert bed.reader.changed_offset == 5
-    assert bed.relay() == 1
-    assert bed.follower.directory.entry_by_id["u1"].slots == 9
+    pair.reader.apply_upstream_records([record], 5, "log")
+    assert pair.reader.changed_offset == 5
+    assert pair.copy_changes() == 1
+    assert pair.follower.directory.entry_by_id["u1"].slots == 9
 
 
-def test_lapse_that_only_the_reader_saw_is_no_departure() -> None:
-    """Guards against upstreams dropped after an outage of the log."""
-    bed = _Bed()
-    bed.reader.note_unavailable()
+def test_lapse_seen_only_by_the_reader_is_not_a_removal() -> None:
+    """Guards against followers that drop upstreams after a log outage."""
+    pair = _ReaderAndFollower()
+    pair.reader.mark_unavailable()
     record = KeyedRecord("u1", b"", 2)
-    bed.reader.apply_upstream_records([record], 3, "log")
-    assert bed.relay() == 1
-    assert "u1" in bed.follower.directory.usable("plain")
-    bed.now += 3.0
-    bed.follower.expire()
-    assert "u1" not in bed.follower.directory.usable("plain")
+    pair.reader.apply_upstream_records([record], 3, "log")
+    assert pair.copy_changes() == 1
+    assert "u1" in pair.follower.directory.usable("plain")
+    pair.now += 3.0
+    pair.follower.expire()
+    assert "u1" not in pair.follower.directory.usable("plain")
 
 
-async def test_followers_learn_who_is_missing_from_a_new_list(
+async def test_followers_remove_upstreams_missing_from_a_listing(
     fleet: Deployment,
 ) -> None:
-    """Guards against upstreams that stay known after history was dropped."""
-    await asyncio.sleep(2 * const.CONFIRMATION_SECONDS)
+    """Guards against removed upstreams that stay in the directory.
+
+    The record of the removal is dropped from the log before it is read.
+    """
+    await asyncio.sleep(2 * const.READER_CONFIRMATION_TIMEOUT_SECONDS)
     topic = fleet.store.topic("keyed.servers")
     topic.append("p1", b"")
     topic.drop_history()
     await until(
         lambda: all(
-            "p1" not in state_of(app).directory.entry_by_id
+            "p1" not in routing_state_of(app).directory.entry_by_id
             for app in fleet.apps
         ),
         2.0,
--- a/tests/router/deployed/test_registration.py
+++ b/tests/router/deployed/test_registration.py
@@ -1,4 +1,4 @@
-"""Registration of routers and the seeds of a fleet."""
+"""Registration of routers and contact with seed hosts."""
 
 from unittest import mock
 
@@ -15,10 +15,8 @@
         ("10.0.0.2", "tcp://10.0.0.2:7400"),
     ],
 )
-def test_seeds_are_contacted_on_the_port_of_peers(
-    host: str, address: str
-) -> None:
-    """Guards against a router that finds nobody while the log is away."""
+def test_seeds_are_contacted_on_the_peer_port(host: str, address: str) -> None:
+    """Guards against a router without peers while the log is unavailable."""
     app = mock.Mock(life=RouterLife("r1", 1))
     app.settings.peer_address = "10.0.0.1:7400"
     Registration(app, mock.Mock()).contact_seeds([host])
--- a/tests/router/deployed/test_routing_state.py
+++ b/tests/router/deployed/test_routing_state.py
@@ -1,4 +1,4 @@
-"""Upstreams that vanish from the list, with and without a disturbance."""
+"""Removal of upstream entries, with and without an outage of the log."""
 
 from unittest import mock
 
@@ -12,8 +12,8 @@
 from lacewingspar_router.components.routing.state import RoutingState
 from lacewingspar_router.platform.upstream_list import decode_upstream
 
-# An upstream must not get requests for longer than this after its entry was
-# removed while the log service worked.
+# An upstream must not receive requests for longer than this after its entry was
+# removed while the log service was available.
 DRAIN_SECONDS = 2.0
 
 
@@ -32,8 +32,8 @@
     )
 
 
-class Bed:
-    """State of one router on a clock of the test."""
+class StateHarness:
+    """Routing state of one router with a controllable clock."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -62,44 +62,48 @@
 @pytest.mark.parametrize(
     ("after_return_seconds", "is_kept"), [(0.0, True), (1.5, False)]
 )
-def test_only_what_vanished_during_the_outage_may_come_back(
+def test_only_entries_removed_during_the_outage_are_kept(
     after_return_seconds: float, is_kept: bool
 ) -> None:
-    """Guards against requests to an upstream that left after an outage."""
-    bed = Bed()
-    bed.state.note_unavailable()
-    bed.now += 3.0
-    bed.state.note_unavailable()
+    """Guards against requests to an upstream that left after an outage.
+
+    Entries removed during an outage may only have expired, so their upstreams
+    stay usable for a while. Entries removed later are gone at once.
+    """
+    harness = StateHarness()
+    harness.state.mark_unavailable()
+    harness.now += 3.0
+    harness.state.mark_unavailable()
     if after_return_seconds:
-        bed.read_nothing()
-    bed.now += after_return_seconds
-    bed.read(b"")
-    bed.now += 0.9 * DRAIN_SECONDS
-    assert bed.is_usable is is_kept
-    bed.now += 0.2 * DRAIN_SECONDS
-    assert not bed.is_usable
+        harness.read_nothing()
+    harness.now += after_return_seconds
+    harness.read(b"")
+    harness.now += 0.9 * DRAIN_SECONDS
+    assert harness.is_usable is is_kept
+    harness.now += 0.2 * DRAIN_SECONDS
+    assert not harness.is_usable
 
 
-def test_upstream_that_vanishes_on_a_calm_day_is_gone_at_once() -> None:
-    bed = Bed()
-    bed.read(b"")
-    assert not bed.is_usable
+def test_upstream_removed_without_an_outage_is_gone_at_once() -> None:
+    harness = StateHarness()
+    harness.read(b"")
+    assert not harness.is_usable
 
 
 def test_lapsed_upstream_that_registers_again_stays() -> None:
-    bed = Bed()
-    bed.state.note_unavailable()
-    bed.read(b"")
-    bed.now += 1.0
-    bed.read(entry(2))
-    bed.now += 10.0
-    assert bed.is_usable
-
-
-def test_older_records_of_a_peer_change_nothing() -> None:
-    """Guards against a peer that brings back an upstream which has left."""
-    bed = Bed()
-    bed.read(b"")
+    harness = StateHarness()
+    harness.state.mark_unavailable()
+    harness.read(b"")
+    harness.now += 1.0
+    harness.read(entry(2))
+    harness.now += 10.0
+    assert harness.is_usable
+
+
+def test_older_records_from_a_peer_are_ignored() -> None:
+    """Guards against a peer that restores a removed upstream."""
+    harness = StateHarness()
+    harness.read(b"")
     record = KeyedRecord("u1", entry(), 0)
-    bed.state.apply_upstream_records([record], 1, "router r2")
-    assert not bed.is_usable
+    harness.state.apply_upstream_records([record], 1, "router r2")
+    assert not harness.is_usable
--- a/tests/router/deployed/test_shared_state.py
+++ b/tests/router/deployed/test_shared_state.py
@@ -1,4 +1,4 @@
-"""Configuration, upstreams and routers through the log service."""
+"""Configuration, upstreams and routers shared through the log service."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 def is_serving(app: Application) -> bool:
-    """Return whether a router knows all others to serve."""
+    """Return whether a router sees all live routers as serving."""
     alive = app.get(PEERS).alive_by_router_id.values()
     return all(record.state is RouterState.SERVING for record in alive)
 
@@ -30,7 +30,7 @@
     return -1 if configuration is None else configuration.version
 
 
-async def test_new_version_comes_into_force(served: Deployment) -> None:
+async def test_new_version_is_activated(served: Deployment) -> None:
     caller = await served.add_router()
     assert (await caller.call("/new/", "GET")).status == 404
     served.publish(manifest(7, routes=[route("/new/", "idempotent", "plain")]))
@@ -42,7 +42,7 @@
 async def test_older_and_unreadable_versions_are_ignored(
     served: Deployment,
 ) -> None:
-    """Guards against a configuration that reverts or ends the process."""
+    """Guards against a configuration that reverts or crashes the process."""
     caller = await served.add_router()
     served.publish(manifest(5))
     await until(lambda: version_of(served) == 5)
@@ -91,10 +91,10 @@
         b' "slots": 1, "state": "ready", "sequence": 1, "born": 1.5}',
     ],
 )
-async def test_invalid_entries_name_no_upstream(
+async def test_invalid_upstream_entries_are_ignored(
     served: Deployment, value: bytes
 ) -> None:
-    """Guards against entries of other writers."""
+    """Guards against invalid entries from other writers of the topic."""
     await served.add_router()
     topic = served.store.topic("keyed.servers")
     topic.append("forged", value)
@@ -104,7 +104,7 @@
     assert "forged" not in directory.entry_by_id
 
 
-async def test_dropped_history_loses_nothing(served: Deployment) -> None:
+async def test_dropped_history_loses_no_changes(served: Deployment) -> None:
     caller = await served.add_router()
     served.publish(manifest(3))
     for topic in served.store.topic_by_name.values():
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("fault", ["outage", "busy", "silent"])
-async def test_requests_go_on_while_the_log_is_away(
+async def test_requests_succeed_while_the_log_is_unavailable(
     served: Deployment, fault: str
 ) -> None:
     caller = await served.add_router()
@@ -133,14 +133,14 @@
     await until(lambda: version_of(served) == 9)
 
 
-async def test_router_that_cannot_read_the_log_learns_from_peers(
+async def test_router_that_cannot_read_the_log_asks_peers(
     served: Deployment,
 ) -> None:
-    """Guards against an old configuration at a router that is turned away."""
+    """Guards against an outdated configuration during a log outage."""
     await served.add_router("r1")
     other = served.apps[0].settings.peer_address
     await served.add_router("r2", seed_hosts=[other])
-    # Both lose the log; the newer version reaches the first router only.
+    # Neither can read the log; only the first router gets the newer version.
     served.store.faults.outage = True
     served.store.faults_changed()
     await asyncio.sleep(0.5)
@@ -153,11 +153,11 @@
 async def test_routers_find_each_other_and_share_the_slots(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a fleet that hands out each slot once a router.
+    """Guards against routers that each use all slots of an upstream.
 
     Load: two routers get 20 calls each for one upstream with 8 slots.
     """
-    # On a busy machine an owner may answer later than in a deployment.
+    # On a busy test machine the slot owner may answer later than in production.
     monkeypatch.setattr(const, "ASK_TIMEOUT_SECONDS", 30.0)
     deployment.publish(manifest())
     upstream = await deployment.add_upstream("p1", "plain", pause_seconds=0.2)
--- a/tests/router/test_addresses.py
+++ b/tests/router/test_addresses.py
@@ -1,4 +1,4 @@
-"""Translation of outgoing addresses."""
+"""Mapping of outgoing addresses."""
 
 import pytest
 
--- a/tests/router/test_connection_memory.py
+++ b/tests/router/test_connection_memory.py
@@ -1,4 +1,4 @@
-"""Memory of connections between requests and after their end."""
+"""Memory use of idle and of closed connections."""
 
 import asyncio
 import gc
@@ -34,15 +34,15 @@
 
 @pytest.fixture
 def without_collections() -> Iterator[None]:
-    """Let only reference counts free memory."""
+    """Disable the garbage collector, so that only reference counts free."""
     gc.collect()
     gc.disable()
     yield
     gc.enable()
 
 
-async def ask(address: str) -> object:
-    """Send one request and return its connection, which stays open."""
+async def send_request(address: str) -> object:
+    """Send one request and return its open connection."""
     connection = await async_open_connection(address)
     connection.send(REQUEST)
     while not isinstance(await connection.next_event(), ResponseEnd):
@@ -50,14 +50,14 @@
     return connection
 
 
-async def test_idle_connection_keeps_nothing_of_its_last_request(
+async def test_idle_connection_does_not_keep_its_last_request(
     server: Http1Server,
 ) -> None:
-    """Guards against the bodies of requests that fill a small VM."""
+    """Guards against request bodies that fill the memory of a small VM."""
     address = f"127.0.0.1:{server.port}"
     tracemalloc.start()
     try:
-        kept = [await ask(address) for _ in range(CONNECTIONS)]
+        kept = [await send_request(address) for _ in range(CONNECTIONS)]
         gc.collect()
         used_bytes, _ = tracemalloc.get_traced_memory()
     finally:
@@ -70,17 +70,17 @@
 async def test_closed_connections_are_freed_at_once(
     server: Http1Server,
 ) -> None:
-    """Guards against memory that grows until the next full collection."""
+    """Guards against memory that grows until the next garbage collection."""
     client = await async_open_connection(f"127.0.0.1:{server.port}")
     client.send(REQUEST)
     while not isinstance(await client.next_event(), ResponseEnd):
         pass
     (connection,) = server.connections
-    ends = [weakref.ref(connection), weakref.ref(client)]
+    references = [weakref.ref(connection), weakref.ref(client)]
     client.abort()
     del connection, client
     for _ in range(100):
-        if all(end() is None for end in ends):
+        if all(reference() is None for reference in references):
             return
         await asyncio.sleep(0.01)
-    pytest.fail("a closed connection is still referred to")
+    pytest.fail("a closed connection is still referenced")
--- a/tests/router/test_connection_pool.py
+++ b/tests/router/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to one address."""
+"""Connection pool for one address."""
 
 from unittest import mock
 
@@ -7,7 +7,7 @@
 
 
 def used_connection() -> tuple[ClientConnection, mock.Mock]:
-    """Return a connection whose exchange is over, and its transport."""
+    """Return a connection after its exchange, and its transport."""
     connection, transport = ClientConnection(), mock.Mock()
     transport.get_write_buffer_size.return_value = 0
     connection.connection_made(transport)
@@ -16,8 +16,8 @@
 
 
 async def test_idle_connections_beyond_the_limit_are_closed() -> None:
-    """Guards against idle connections that take all descriptors."""
-    pool = ConnectionPool("10.0.0.1:80", most_idle=1)
+    """Guards against idle connections that use up the file descriptors."""
+    pool = ConnectionPool("10.0.0.1:80", max_idle_connections=1)
     kept, kept_transport = used_connection()
     closed, closed_transport = used_connection()
     pool.give_back(kept)
--- a/tests/router/test_http1_server.py
+++ b/tests/router/test_http1_server.py
@@ -1,4 +1,4 @@
-"""Connections of callers at the server."""
+"""Connections of callers to the HTTP/1.1 server."""
 
 import asyncio
 
@@ -16,19 +16,19 @@
 REQUEST = b"GET / HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n"
 
 
-class HeldAnswers:
-    """Handler that answers when it is told to."""
+class BlockingHandler:
+    """Handler that blocks until the test lets it respond."""
 
     def __init__(self) -> None:
-        self.may_answer = asyncio.Event()
+        self.may_respond = asyncio.Event()
 
     async def async_handle(self, exchange: ServerExchange) -> None:
-        await self.may_answer.wait()
+        await self.may_respond.wait()
         exchange.answer(204, [], b"")
 
 
 async def is_open(connection: ClientConnection) -> bool:
-    """Return whether the server still answers on a connection."""
+    """Return whether the server still responds on a connection."""
     try:
         connection.send(REQUEST)
         async with asyncio.timeout(1.0):
@@ -38,12 +38,12 @@
     return True
 
 
-async def test_kept_connections_leave_descriptors_for_new_ones(
+async def test_idle_connections_are_closed_for_new_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against idle connections that use up the descriptors."""
-    monkeypatch.setattr(http1_server, "CLOSED_AT_ONCE", 1)
-    handler = HeldAnswers()
+    """Guards against idle connections that use up the file descriptors."""
+    monkeypatch.setattr(http1_server, "IDLE_CLOSE_BATCH_SIZE", 1)
+    handler = BlockingHandler()
     loop = asyncio.get_running_loop()
     server = Http1Server(handler.async_handle, loop.time)
     server.most_connections = 2
@@ -54,12 +54,12 @@
         busy.send(REQUEST)
         idle = await async_open_connection(address)
         await asyncio.sleep(0.05)
-        late = await async_open_connection(address)
+        newest = await async_open_connection(address)
         await asyncio.sleep(0.05)
         assert len(server.connections) == 2
-        handler.may_answer.set()
+        handler.may_respond.set()
         assert not await is_open(idle)
-        assert await is_open(late)
+        assert await is_open(newest)
         assert await busy.next_event()
     finally:
         server.close()
@@ -68,10 +68,10 @@
 async def test_burst_of_connections_closes_idle_ones_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a search for idle connections at each new one."""
-    monkeypatch.setattr(http1_server, "CLOSED_AT_ONCE", 8)
+    """Guards against a scan of all connections for each new connection."""
+    monkeypatch.setattr(http1_server, "IDLE_CLOSE_BATCH_SIZE", 8)
     loop = asyncio.get_running_loop()
-    server = Http1Server(HeldAnswers().async_handle, loop.time)
+    server = Http1Server(BlockingHandler().async_handle, loop.time)
     server.most_connections = 16
     await server.async_start("127.0.0.1:0")
     address = f"127.0.0.1:{server.port}"
@@ -82,7 +82,7 @@
         await asyncio.sleep(0.1)
     try:
         assert 8 < len(server.connections) <= 16
-        # 24 connections more than the limit, eight at a time.
+        # 24 connections above the limit, closed in batches of eight.
         assert len(lines) == 3
     finally:
         for connection in opened:
@@ -90,30 +90,30 @@
         server.close()
 
 
-async def test_refused_request_leaves_its_connection_open() -> None:
-    refusal = Response(503, [(b"retry-after", b"1")], b"later")
-    refusals = [refusal, None, refusal]
-    handler = HeldAnswers()
-    handler.may_answer.set()
+async def test_early_response_leaves_the_connection_open() -> None:
+    early_response = Response(503, [(b"retry-after", b"1")], b"later")
+    early_responses = [early_response, None, early_response]
+    handler = BlockingHandler()
+    handler.may_respond.set()
     loop = asyncio.get_running_loop()
     server = Http1Server(
-        handler.async_handle, loop.time, lambda _: refusals.pop(0)
+        handler.async_handle, loop.time, lambda _: early_responses.pop(0)
     )
     await server.async_start("127.0.0.1:0")
     connection = await async_open_connection(f"127.0.0.1:{server.port}")
     statuses = []
     for _ in range(3):
-        answer = await async_exchange(connection, REQUEST, 1000)
+        response = await async_exchange(connection, REQUEST, 1000)
         assert connection.finish()
-        statuses.append(answer.status)
+        statuses.append(response.status)
     assert statuses == [503, 204, 503]
     assert server.accepted_connections == 1
     connection.abort()
     server.close()
 
 
-class CountedWrites:
-    """Connection that keeps what is sent on it."""
+class RecordingConnection:
+    """Connection that records each write."""
 
     must_close = False
 
@@ -127,9 +127,9 @@
         pass
 
 
-def test_whole_answer_is_sent_at_once() -> None:
-    """Guards against a system call for the head of each answer."""
-    sink = CountedWrites()
+def test_whole_response_is_sent_in_one_write() -> None:
+    """Guards against a separate system call for each response head."""
+    sink = RecordingConnection()
     request = HttpRequest("GET", "/", [], b"", 0.0)
     exchange = ServerExchange(sink, request)
     exchange.answer(503, [(b"retry-after", b"1")], b"later")
--- a/tests/router/test_listener.py
+++ b/tests/router/test_listener.py
@@ -1,4 +1,4 @@
-"""Acceptance of connections under load, on the event loop of the daemon."""
+"""Accepting connections under load, on the daemon's event loop."""
 
 import asyncio
 import errno
@@ -17,40 +17,40 @@
 from lacewingspar_router.http1.server import LISTEN_BACKLOG, Http1Server
 from lacewingspar_router.http_server import HttpServer
 
-# Callers give a connection up after a second, and a router on half a processor
-# accepts some 500 in it.
+# Callers time out after a second, in which a router on half a processor accepts
+# about 500 connections.
 ACCEPTED_IN_HALF_A_SECOND = 250
-# As many as the queue of the listener holds.
+# Fills the listen queue.
 CONNECTIONS = LISTEN_BACKLOG
-# Turns of the event loop; one for each connection would be many more.
+# Event loop iterations; far fewer than connections.
 TURNS = 20
 
 REQUEST = b"GET / HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n"
 
 
-async def answer_exchange(exchange: ServerExchange) -> None:
+async def respond(exchange: ServerExchange) -> None:
     exchange.answer(204, [], b"")
 
 
-async def answer_scope(_scope: Any, _receive: Any, send: Any) -> None:
+async def respond_asgi(_scope: Any, _receive: Any, send: Any) -> None:
     start = {"type": "http.response.start", "status": 204, "headers": []}
     await send(start)
     await send({"type": "http.response.body"})
 
 
 @asynccontextmanager
-async def platform_server() -> AsyncIterator[int]:
-    """Run the server of the users' platform."""
-    server = Http1Server(answer_exchange, asyncio.get_running_loop().time)
+async def run_http1_server() -> AsyncIterator[int]:
+    """Run the HTTP/1.1 server for the users' platform."""
+    server = Http1Server(respond, asyncio.get_running_loop().time)
     await server.async_start("127.0.0.1:0")
     yield server.port
     server.close()
 
 
 @asynccontextmanager
-async def own_server() -> AsyncIterator[int]:
-    """Run the server of the project's own interface."""
-    server = HttpServer(answer_scope, "127.0.0.1:0")
+async def run_http_server() -> AsyncIterator[int]:
+    """Run the HTTP server of the project's own interface."""
+    server = HttpServer(respond_asgi, "127.0.0.1:0")
     await server.async_start()
     yield server.port
     await server.async_stop(abort=True)
@@ -71,11 +71,11 @@
         return False
 
 
-@pytest.mark.parametrize("run_server", [platform_server, own_server])
+@pytest.mark.parametrize("run_server", [run_http1_server, run_http_server])
 def test_busy_event_loop_accepts_all_waiting_connections(
     run_server: Any,
 ) -> None:
-    """Guards against one accepted connection in each turn of the loop."""
+    """Guards against accepting only one connection per loop iteration."""
 
     async def run() -> int:
         async with run_server() as port:
@@ -91,14 +91,14 @@
         assert runner.run(run()) == CONNECTIONS
 
 
-async def test_connections_beyond_the_queue_are_not_kept_waiting() -> None:
-    """Guards against accepted connections that callers have given up."""
-    async with platform_server() as port:
+async def test_listen_queue_is_bounded() -> None:
+    """Guards against queued connections whose callers have timed out."""
+    async with run_http1_server() as port:
         connections = [socket.socket() for _ in range(400)]
         for connection in connections:
             connection.setblocking(False)
             connection.connect_ex(("127.0.0.1", port))
-        # The server accepts nothing before this coroutine waits.
+        # The server cannot accept before this coroutine awaits.
         _, established, _ = select.select([], connections, [], 0.1)
         for connection in connections:
             connection.close()
@@ -106,7 +106,7 @@
 
 
 class ExhaustedSocket(socket.socket):
-    """Listening socket that has no descriptor for its first connections."""
+    """Listening socket whose first calls of `accept` fail."""
 
     failures = 3
 
@@ -117,26 +117,24 @@
         return super().accept()
 
 
-async def test_listener_accepts_again_after_descriptors_ran_out() -> None:
-    """Guards against a listener that ends with the first failure."""
+async def test_listener_recovers_when_descriptors_run_out() -> None:
+    """Guards against a listener that stops after a failed `accept`."""
     bound = ExhaustedSocket()
     bound.setblocking(False)
     bound.bind(("127.0.0.1", 0))
     opened = asyncio.Event()
     with structlog.testing.capture_logs() as lines:
-        listener = Listener(bound, lambda: Opened(opened), 16)
+        listener = Listener(bound, lambda: OpenedProtocol(opened), 16)
         connection = connect(listener.port)
         await asyncio.wait_for(opened.wait(), 2.0)
-    assert [line["event"] for line in lines] == [
-        "connections cannot be accepted"
-    ]
+    assert [line["event"] for line in lines] == ["failed to accept connections"]
     assert listener.accepted == 1
     listener.close()
     connection.close()
 
 
-class Opened(asyncio.Protocol):
-    """Tells that the connection was accepted."""
+class OpenedProtocol(asyncio.Protocol):
+    """Protocol that signals that its connection was accepted."""
 
     def __init__(self, opened: asyncio.Event) -> None:
         self._opened = opened
