--- a/packages/router/src/lacewingspar_router/components/routing/errors.py
+++ b/packages/router/src/lacewingspar_router/components/routing/errors.py
@@ -4,7 +4,7 @@
 
 
 class TopicUnavailableError(RouterError):
-    """The log service did not answer, or refused a read or write."""
+    """The log service did not respond, or rejected a read or write."""
 
 
 class TopicTruncatedError(RouterError):
--- a/packages/router/src/lacewingspar_router/components/routing/registration.py
+++ b/packages/router/src/lacewingspar_router/components/routing/registration.py
@@ -31,8 +31,8 @@
 class Registration:
     """Registers this router in the topic of routers.
 
-    A router lists the others after it has registered. Of two routers that start
-    at the same time, at least the later one therefore finds the other and sends
+    A router registers before it lists the others. When two routers start at the
+    same time, the one that registers later therefore finds the other and sends
     it a heartbeat.
 
     Args:
--- a/packages/router/src/lacewingspar_router/http1/client_connection.py
+++ b/packages/router/src/lacewingspar_router/http1/client_connection.py
@@ -69,7 +69,7 @@
         self._has_progressed = False
         self._sink: BodySink | None = None
         self._gap_timeout_seconds = _NEVER
-        self._part_deadline = _NEVER
+        self._next_chunk_deadline = _NEVER
         self._is_paused = False
         self._is_busy = False
         self._is_closing = False
@@ -154,7 +154,9 @@
             self._push_event(body)
             return
         if self._gap_timeout_seconds < _NEVER:
-            self._part_deadline = time.monotonic() + self._gap_timeout_seconds
+            self._next_chunk_deadline = (
+                time.monotonic() + self._gap_timeout_seconds
+            )
         try:
             accepts_more = self._sink.write(body)
         except EventSizeError as error:
@@ -228,7 +230,7 @@
             TimeoutError: No chunk arrived in time.
         """
         self._gap_timeout_seconds = _timeout_or_never(gap_timeout_seconds)
-        self._part_deadline = time.monotonic() + _timeout_or_never(
+        self._next_chunk_deadline = time.monotonic() + _timeout_or_never(
             first_chunk_timeout_seconds
         )
         while True:
@@ -240,7 +242,7 @@
                     "another response started before the end"
                 )
             if event is not None:
-                self._part_deadline = (
+                self._next_chunk_deadline = (
                     time.monotonic() + self._gap_timeout_seconds
                 )
                 if not sink.write(event):
@@ -265,13 +267,13 @@
 
         def check() -> None:
             nonlocal timer
-            left = self._part_deadline - time.monotonic()
+            left = self._next_chunk_deadline - time.monotonic()
             if left <= 0:
                 _set_timeout_error(waiter)
             else:
                 timer = loop.call_later(left, check)
 
-        if self._part_deadline < _NEVER:
+        if self._next_chunk_deadline < _NEVER:
             check()
         try:
             await waiter
--- a/packages/router/src/lacewingspar_router/platform/manifest.py
+++ b/packages/router/src/lacewingspar_router/platform/manifest.py
@@ -22,9 +22,9 @@
 _DEFAULT_TIMEOUT_MS = 60_000.0
 _DEFAULT_TARGET_LATENCY_MS = 1000.0
 _DEFAULT_LIMITS = CallerLimits()
-# According to the platform's page on requests, a caller abandons a stream, also
-# before its first event, after the longest of: a minimum, a multiple of the
-# latency target, and a multiple of the largest event gap that meets its target.
+# Callers abandon a stream that sends no event for the longest of: a minimum, a
+# multiple of the latency target, and a multiple of the event gap target. This
+# also applies before the first event. Source: the platform's page on requests.
 _MIN_FIRST_CHUNK_TIMEOUT_SECONDS = 2.0
 _FIRST_CHUNK_TIMEOUT_PER_LATENCY_TARGET = 4.0
 _FIRST_CHUNK_TIMEOUT_PER_EVENT_GAP = 8.0
--- a/packages/router/src/lacewingspar_router/platform/wire_format.py
+++ b/packages/router/src/lacewingspar_router/platform/wire_format.py
@@ -102,19 +102,20 @@
         """Interpret the status and headers of a response."""
         del upstream
         values = dict(head.headers)
-        answered_id = values.get(names.HEADER_REQUEST_ID)
+        response_request_id = values.get(names.HEADER_REQUEST_ID)
         is_not_run = names.HEADER_NOT_RUN in values
-        is_wrong = head.status == _STATUS_MISDIRECTED
+        is_misdirected = head.status == _STATUS_MISDIRECTED
         content_type = values.get(b"content-type", b"")
         return AnswerFacts(
             is_own=(
-                answered_id is None
-                or answered_id.decode("latin-1") == call.fields.request_id
+                response_request_id is None
+                or response_request_id.decode("latin-1")
+                == call.fields.request_id
             ),
             is_genuine=names.HEADER_SERVER_SEAL in values
-            and answered_id is not None,
+            and response_request_id is not None,
             is_not_run=is_not_run,
-            is_wrong_upstream=is_wrong,
+            is_wrong_upstream=is_misdirected,
             is_event_stream=content_type.startswith(names.EVENT_STREAM),
             is_encoded=(
                 values.get(names.HEADER_CONTENT_ENCODING, b"identity")
@@ -208,7 +209,9 @@
 
 def _output_tokens(values: dict[bytes, bytes]) -> int:
     estimate = _header_integer(values, names.HEADER_OUTPUT_ESTIMATE)
-    _, largest = _token_counts(values)
+    _, max_output_tokens = _token_counts(values)
     if estimate is not None:
-        return min(estimate, largest) if largest else estimate
-    return int(largest * _DEFAULT_OUTPUT_FRACTION)
+        return (
+            min(estimate, max_output_tokens) if max_output_tokens else estimate
+        )
+    return int(max_output_tokens * _DEFAULT_OUTPUT_FRACTION)
--- a/tests/router/deployed/test_reader_role.py
+++ b/tests/router/deployed/test_reader_role.py
@@ -178,7 +178,7 @@
     assert pair.follower.directory.entry_by_id["u1"].slots == 9
 
 
-def test_lapse_seen_only_by_the_reader_is_not_a_removal() -> None:
+def test_expiry_seen_only_by_the_reader_is_not_a_removal() -> None:
     """Guards against followers that drop upstreams after a log outage."""
     pair = _ReaderAndFollower()
     pair.reader.mark_unavailable()
--- a/tests/router/deployed/test_routing_state.py
+++ b/tests/router/deployed/test_routing_state.py
@@ -68,7 +68,8 @@
     """Guards against requests to an upstream that left after an outage.
 
     Entries removed during an outage may only have expired, so their upstreams
-    stay usable for a while. Entries removed later are gone at once.
+    stay usable for a while. Upstreams whose entries are removed later are
+    unusable at once.
     """
     harness = StateHarness()
     harness.state.mark_unavailable()
@@ -84,13 +85,13 @@
     assert not harness.is_usable
 
 
-def test_upstream_removed_without_an_outage_is_gone_at_once() -> None:
+def test_upstream_removed_without_an_outage_is_unusable_at_once() -> None:
     harness = StateHarness()
     harness.read(b"")
     assert not harness.is_usable
 
 
-def test_lapsed_upstream_that_registers_again_stays() -> None:
+def test_expired_upstream_that_registers_again_is_kept() -> None:
     harness = StateHarness()
     harness.state.mark_unavailable()
     harness.read(b"")
--- a/tests/router/test_connection_memory.py
+++ b/tests/router/test_connection_memory.py
@@ -22,14 +22,14 @@
 
 @pytest.fixture
 async def server() -> AsyncIterator[Http1Server]:
-    async def answer(exchange: ServerExchange) -> None:
+    async def respond(exchange: ServerExchange) -> None:
         exchange.answer(204, [], b"")
 
     loop = asyncio.get_running_loop()
-    made = Http1Server(answer, loop.time)
-    await made.async_start("127.0.0.1:0")
-    yield made
-    made.close()
+    http1_server = Http1Server(respond, loop.time)
+    await http1_server.async_start("127.0.0.1:0")
+    yield http1_server
+    http1_server.close()
 
 
 @pytest.fixture
