--- a/packages/core/src/lacewingspar_core/admission_events.py
+++ b/packages/core/src/lacewingspar_core/admission_events.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.prefix_memory import PromptPart
 
 
@@ -17,7 +17,7 @@
         number: Number that the ingress router instance uses only once.
     """
 
-    holder: RouterLife
+    holder: RouterInstance
     number: int
 
 
--- a/packages/core/src/lacewingspar_core/claims.py
+++ b/packages/core/src/lacewingspar_core/claims.py
@@ -14,17 +14,17 @@
 import msgspec
 
 from lacewingspar_core.errors import RecordGapError
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 
 # A router that was frozen for longer must not send the claimed call, because
 # another router may have claimed the key again after the deduplication window.
-SEND_LIMIT_SECONDS = 10.0
+CLAIM_SEND_TIMEOUT_SECONDS = 10.0
 # Deduplication window as a fraction of the stream's retention. The other half
 # is the time that a reader has for reading the stream.
-WINDOW_FRACTION = 0.5
+DEDUPLICATION_WINDOW_FRACTION = 0.5
 # Larger bodies are not recorded; a repeated call is then only told that the
 # call has run.
-OUTCOME_BODY_BYTES = 8 * 1024
+MAX_OUTCOME_BODY_BYTES = 8 * 1024
 # Total size of the bodies kept in memory, a quarter of a router's memory limit.
 # Beyond it the oldest bodies are dropped, and repeated calls are only told that
 # the call has run.
@@ -39,13 +39,13 @@
     Attributes:
         key: Result of `claim_key`.
         digest: Digest of the call.
-        life: Router instance that appends the claim.
+        instance: Router instance that appends the claim.
         sequence: Number of the claim within that instance.
     """
 
     key: bytes
     digest: bytes
-    life: RouterLife
+    instance: RouterInstance
     sequence: int
 
 
@@ -115,7 +115,7 @@
     return value.int >> 80 if value.version == 7 else None
 
 
-def is_time_expired(key_time: int | None, now_ms: int, window_ms: int) -> bool:
+def is_key_expired(key_time: int | None, now_ms: int, window_ms: int) -> bool:
     """Return whether a key's timestamp precedes the deduplication window.
 
     Args:
@@ -171,16 +171,18 @@
         self._offsets_with_body: dict[int, None] = {}
         # Decoding creates an object per record; equal instances share one
         # object to save memory.
-        self._shared_instance_by_value: dict[RouterLife, RouterLife] = {}
+        self._shared_instance_by_value: dict[
+            RouterInstance, RouterInstance
+        ] = {}
 
     def __len__(self) -> int:
         return len(self._entry_by_offset)
 
-    def entry_at(self, offset: int) -> ClaimEntry | None:
+    def entry_by_offset(self, offset: int) -> ClaimEntry | None:
         """Return the unreleased claim at an offset, or None."""
         return self._entry_by_offset.get(offset)
 
-    def entry_of(self, key: bytes) -> ClaimEntry | None:
+    def entry_by_key(self, key: bytes) -> ClaimEntry | None:
         """Return the claim that answers repeated calls of a key, or None.
 
         It is the claim with an outcome, or else the oldest one.
@@ -201,8 +203,10 @@
 
     def add(self, offset: int, claim: Claim) -> None:
         """Add a claim; it wins if no unreleased claim of its key is left."""
-        life = self._shared_instance_by_value.setdefault(claim.life, claim.life)
-        claim = Claim(claim.key, claim.digest, life, claim.sequence)
+        instance = self._shared_instance_by_value.setdefault(
+            claim.instance, claim.instance
+        )
+        claim = Claim(claim.key, claim.digest, instance, claim.sequence)
         others = self._entries_by_key.get(claim.key, ())
         entry = ClaimEntry(offset, self.newest_ms, claim, has_won=not others)
         self._entry_by_offset[offset] = entry
@@ -226,7 +230,7 @@
             return
         self._offsets_with_body[entry.offset] = None
         self.body_bytes += len(outcome.body)
-        if len(outcome.body) > OUTCOME_BODY_BYTES:
+        if len(outcome.body) > MAX_OUTCOME_BODY_BYTES:
             self._drop_body(entry)
         while self.body_bytes > MAX_TOTAL_OUTCOME_BODY_BYTES:
             oldest = next(iter(self._offsets_with_body))
@@ -285,11 +289,11 @@
         case Claim():
             state.add(offset, record)
         case Release(claim_offset):
-            entry = state.entry_at(claim_offset)
+            entry = state.entry_by_offset(claim_offset)
             if entry is not None and entry.outcome is None:
                 state.remove(entry)
         case Outcome(claim_offset):
-            entry = state.entry_at(claim_offset)
+            entry = state.entry_by_offset(claim_offset)
             if entry is not None and entry.outcome is None and entry.has_won:
                 state.set_outcome(entry, record)
         case None:
@@ -302,14 +306,14 @@
     """A claim of this router that it has read back from the claim stream.
 
     Attributes:
-        life: This router instance.
+        instance: This router instance.
         offset: Offset of the claim.
         appended_at: Time before the append on this router's boot-time clock, in
             seconds.
         key_time_ms: Result of `key_time_ms` for the caller's key.
     """
 
-    life: RouterLife
+    instance: RouterInstance
     offset: int
     appended_at: float
     key_time_ms: int | None
@@ -325,12 +329,12 @@
         claim: Claim of this router.
         now: Time on this router's boot-time clock, in seconds.
     """
-    entry = state.entry_at(claim.offset)
-    if entry is None or entry.claim.life != claim.life:
+    entry = state.entry_by_offset(claim.offset)
+    if entry is None or entry.claim.instance != claim.instance:
         return False
     if not entry.has_won or entry.outcome is not None:
         return False
     # The append may have taken effect long after the key's age was checked.
-    if is_time_expired(claim.key_time_ms, entry.time_ms, state.window_ms):
+    if is_key_expired(claim.key_time_ms, entry.time_ms, state.window_ms):
         return False
-    return now < claim.appended_at + SEND_LIMIT_SECONDS
+    return now < claim.appended_at + CLAIM_SEND_TIMEOUT_SECONDS
--- a/packages/core/src/lacewingspar_core/configreplica.py
+++ b/packages/core/src/lacewingspar_core/configreplica.py
@@ -38,7 +38,7 @@
         self._first_offset = 0
 
     @property
-    def wanted_offset(self) -> int:
+    def next_read_offset(self) -> int:
         """Return the offset of the next record to receive."""
         return self._first_offset + len(self._records)
 
@@ -59,7 +59,7 @@
         """
         before = self.state
         first = records[0].offset if records else first_retained
-        if first > self.wanted_offset:
+        if first > self.next_read_offset:
             # Only a snapshot can bridge the gap. A peer's records without
             # one are dropped: the log service may have the missing ones.
             if first > first_retained and not _has_usable_snapshot(
@@ -72,7 +72,7 @@
         if self.state is None and self._first_offset == first == 0:
             self.state = ConfigState()
         for record in records:
-            if record.offset == self.wanted_offset:
+            if record.offset == self.next_read_offset:
                 self._add_record(record)
         self._apply_kept()
         return self.state is not before
@@ -103,7 +103,7 @@
         return tuple(chosen)
 
     @property
-    def is_stalled(self) -> bool:
+    def has_gap(self) -> bool:
         """Return whether records after the state are missing."""
         return self.applied_offset < self._first_offset
 
@@ -114,7 +114,7 @@
             first: Offset of the first of these records.
             records: Consecutive records.
         """
-        if not self.is_stalled:
+        if not self.has_gap:
             return False
         if self.state is not None and first <= self.state.next_offset:
             return True
@@ -142,14 +142,14 @@
             return
         self.snapshot_time_ms = record.time_ms
         self.bytes_since_snapshot = 0
-        if self.state is None or self.is_stalled:
+        if self.state is None or self.has_gap:
             self.state = start
         self._apply_kept()
         self._drop_before(start.next_offset)
 
     def _apply_kept(self) -> None:
         state = self.state
-        if state is None or self.is_stalled:
+        if state is None or self.has_gap:
             return
         for record in self._records[state.next_offset - self._first_offset :]:
             state = apply_record(
--- a/packages/core/src/lacewingspar_core/demand.py
+++ b/packages/core/src/lacewingspar_core/demand.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import Demand, DemandEntry
 
 
@@ -46,17 +46,17 @@
 
     def __init__(self) -> None:
         self._demand_by_key: dict[
-            DemandKey, dict[RouterLife, _IngressDemand]
+            DemandKey, dict[RouterInstance, _IngressDemand]
         ] = {}
         self._unoffered_by_key: dict[DemandKey, int] = {}
         # A dict as an ordered set, so that replayed events give the same order.
         self._keys_by_ingress_router: dict[
-            RouterLife, dict[DemandKey, None]
+            RouterInstance, dict[DemandKey, None]
         ] = {}
-        self._sequence_by_ingress_router: dict[RouterLife, int] = {}
+        self._sequence_by_ingress_router: dict[RouterInstance, int] = {}
 
     def update(
-        self, ingress_router: RouterLife, message: Demand, now: float
+        self, ingress_router: RouterInstance, message: Demand, now: float
     ) -> bool:
         """Apply a demand message of an ingress router.
 
@@ -83,7 +83,7 @@
                     self._set_counts(key, ingress_router, waiting=0)
         return True
 
-    def remove_ingress_router(self, ingress_router: RouterLife) -> None:
+    def remove_ingress_router(self, ingress_router: RouterInstance) -> None:
         """Remove the demand of an unreachable ingress router."""
         self._sequence_by_ingress_router.pop(ingress_router, None)
         for key in list(self._keys_by_ingress_router.get(ingress_router, ())):
@@ -105,7 +105,7 @@
 
     def longest_waiting_ingress_router(
         self, key: DemandKey
-    ) -> RouterLife | None:
+    ) -> RouterInstance | None:
         """Return the ingress router with the oldest unoffered request of a key.
 
         Returns:
@@ -121,13 +121,15 @@
         return min(unoffered)[1] if unoffered else None
 
     def estimate_seconds(
-        self, key: DemandKey, ingress_router: RouterLife
+        self, key: DemandKey, ingress_router: RouterInstance
     ) -> float:
         """Return the expected slot time of such requests, or 0 if unknown."""
         ingress_demand = self._find_demand(key, ingress_router)
         return ingress_demand.estimate_seconds if ingress_demand else 0.0
 
-    def record_offer(self, key: DemandKey, ingress_router: RouterLife) -> None:
+    def record_offer(
+        self, key: DemandKey, ingress_router: RouterInstance
+    ) -> None:
         """Record an offer of this slot owner."""
         ingress_demand = self._find_demand(key, ingress_router)
         if ingress_demand:
@@ -136,7 +138,7 @@
             )
 
     def record_remote_offer(
-        self, key: DemandKey, ingress_router: RouterLife
+        self, key: DemandKey, ingress_router: RouterInstance
     ) -> None:
         """Record an offer of another data centre for one of the requests."""
         ingress_demand = self._find_demand(key, ingress_router)
@@ -146,7 +148,7 @@
             )
 
     def record_offer_end(
-        self, key: DemandKey, ingress_router: RouterLife, *, accepted: bool
+        self, key: DemandKey, ingress_router: RouterInstance, *, accepted: bool
     ) -> None:
         """Record the end of an open offer.
 
@@ -168,12 +170,12 @@
         )
 
     def _find_demand(
-        self, key: DemandKey, ingress_router: RouterLife
+        self, key: DemandKey, ingress_router: RouterInstance
     ) -> _IngressDemand | None:
         return self._demand_by_key.get(key, {}).get(ingress_router)
 
     def _apply_entry(
-        self, ingress_router: RouterLife, entry: DemandEntry, now: float
+        self, ingress_router: RouterInstance, entry: DemandEntry, now: float
     ) -> None:
         key = DemandKey(entry.workspace, entry.model)
         ingress_routers = self._demand_by_key.setdefault(key, {})
@@ -188,7 +190,7 @@
     def _set_counts(
         self,
         key: DemandKey,
-        ingress_router: RouterLife,
+        ingress_router: RouterInstance,
         *,
         waiting: int | None = None,
         offered: int | None = None,
--- a/packages/core/src/lacewingspar_core/directory.py
+++ b/packages/core/src/lacewingspar_core/directory.py
@@ -6,7 +6,7 @@
 
 # After an outage of the registry, a live upstream whose entry expired is listed
 # again within this time, as the registry's interface guarantees.
-LAPSE_GRACE_SECONDS = 2.0
+EXPIRY_GRACE_SECONDS = 2.0
 # Removed upstreams are remembered for this long, to recognise late copies of
 # their entries. Copies are delayed by seconds at most.
 REMOVED_MEMORY_SECONDS = 120.0
@@ -33,7 +33,7 @@
         born_ms: Start time of this upstream instance, in milliseconds since
             the Unix epoch.
         sequence: Number of the report of this instance.
-        cold_seconds: Remaining time for which it is slow after its start.
+        warm_up_seconds: Remaining time for which it is slow after its start.
     """
 
     upstream_id: str
@@ -44,7 +44,7 @@
     state: UpstreamState
     born_ms: int
     sequence: int
-    cold_seconds: float
+    warm_up_seconds: float
 
     @property
     def order(self) -> tuple[int, int]:
@@ -58,7 +58,7 @@
     ADDED = "added"
     RESTARTED = "restarted"
     CHANGED = "changed"
-    LAPSED = "lapsed"
+    EXPIRED = "lapsed"
     REMOVED = "removed"
 
 
@@ -100,7 +100,7 @@
         """Return all upstreams except removed ones, by id."""
         return self._entry_by_id
 
-    def usable(self, service: str) -> dict[str, UpstreamEntry]:
+    def ready_upstreams(self, service: str) -> dict[str, UpstreamEntry]:
         """Return the upstreams of a service that accept new work, by id."""
         return {
             upstream_id: entry
@@ -134,38 +134,38 @@
         return None
 
     def remove(
-        self, upstream_id: str, now: float, *, may_have_lapsed: bool
+        self, upstream_id: str, now: float, *, may_have_expired: bool
     ) -> DirectoryChange | None:
         """Remove an upstream that is no longer listed, or let it expire later.
 
         Args:
             upstream_id: Id of the upstream.
             now: Time in seconds.
-            may_have_lapsed: Whether the registry was disrupted, so that a live
+            may_have_expired: Whether the registry was disrupted, so that a live
                 upstream may be listed again soon.
         """
         entry = self._entry_by_id.get(upstream_id)
         if entry is None:
             return None
-        if may_have_lapsed and entry.state is UpstreamState.READY:
+        if may_have_expired and entry.state is UpstreamState.READY:
             if upstream_id in self._expires_at_by_id:
                 return None
-            self._expires_at_by_id[upstream_id] = now + LAPSE_GRACE_SECONDS
-            return DirectoryChange(ChangeKind.LAPSED, entry)
+            self._expires_at_by_id[upstream_id] = now + EXPIRY_GRACE_SECONDS
+            return DirectoryChange(ChangeKind.EXPIRED, entry)
         return self._drop(entry, now)
 
-    def replace_all(
+    def apply_listing(
         self,
         entries: Mapping[str, UpstreamEntry],
         now: float,
         *,
-        may_have_lapsed: bool,
+        may_have_expired: bool,
     ) -> list[DirectoryChange]:
         """Apply a complete listing and return the changes."""
         missing = self._entry_by_id.keys() - entries.keys()
         changes = [self.apply(entry) for entry in entries.values()]
         changes += [
-            self.remove(upstream_id, now, may_have_lapsed=may_have_lapsed)
+            self.remove(upstream_id, now, may_have_expired=may_have_expired)
             for upstream_id in sorted(missing)
         ]
         return [change for change in changes if change is not None]
@@ -202,5 +202,5 @@
         entry.data_centre,
         entry.slots,
         entry.state,
-        entry.cold_seconds > 0,
+        entry.warm_up_seconds > 0,
     )
--- a/packages/core/src/lacewingspar_core/dispatch.py
+++ b/packages/core/src/lacewingspar_core/dispatch.py
@@ -15,7 +15,7 @@
     TimePassed,
     UpstreamsChanged,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.ledger import ServiceLedger
 from lacewingspar_core.messages import (
     ActiveSlot,
@@ -53,7 +53,7 @@
     """Pending slot reports after this router became the owner of upstreams."""
 
     wait_until: float
-    awaited_routers: set[RouterLife] = field(default_factory=set)
+    awaited_routers: set[RouterInstance] = field(default_factory=set)
 
 
 class SlotOwner:
@@ -65,7 +65,7 @@
 
     Args:
         service: Name of the service.
-        life: This router instance.
+        instance: This router instance.
         data_centre: Data centre of this router.
         weights_unpublished_grants: See `WorkspaceSelector`.
     """
@@ -73,14 +73,14 @@
     def __init__(
         self,
         service: str,
-        life: RouterLife,
+        instance: RouterInstance,
         data_centre: str,
         *,
         weights_unpublished_grants: bool = True,
     ) -> None:
         self.service = service
-        self.ledger = ServiceLedger(service, life, data_centre)
-        self._life = life
+        self.ledger = ServiceLedger(service, instance, data_centre)
+        self._instance = instance
         self._costs = CostTable()
         self._selector = WorkspaceSelector(
             self.ledger,
@@ -91,7 +91,7 @@
         self._demand = DemandTable()
         self._offer_count = 0
         self._takeover: _Takeover | None = None
-        self._offers_by_remote_owner: dict[RouterLife, dict[str, int]] = {}
+        self._offers_by_remote_owner: dict[RouterInstance, dict[str, int]] = {}
 
     def handle(self, event: OwnerEvent, now: float) -> list[OwnerAction]:
         """Handle one event.
@@ -107,8 +107,8 @@
         match event:
             case UpstreamsChanged():
                 actions += self._set_upstreams(event, now)
-            case RouterGone(life):
-                self._remove_router(life)
+            case RouterGone(instance):
+                self._remove_router(instance)
             case MessageReceived(sender, message):
                 actions += self._receive(sender, message, now)
             case TimePassed():
@@ -158,28 +158,28 @@
         request = SlotReportRequest(self.service)
         return [Send(router, request) for router in sorted(event.routers)]
 
-    def _remove_router(self, life: RouterLife) -> None:
-        self._demand.remove_ingress_router(life)
-        self.ledger.mark_unreachable(life)
+    def _remove_router(self, instance: RouterInstance) -> None:
+        self._demand.remove_ingress_router(instance)
+        self.ledger.mark_unreachable(instance)
         if self._takeover is not None:
-            self._takeover.awaited_routers.discard(life)
+            self._takeover.awaited_routers.discard(instance)
         for allocation in self._slots.allocations():
             if (
-                allocation.ingress_router == life
+                allocation.ingress_router == instance
                 and allocation.started_at is None
             ):
                 self._slots.remove(allocation.slot)
                 self._undo_offer(allocation)
 
     def _receive(
-        self, sender: RouterLife, message: AnyPeerMessage, now: float
+        self, sender: RouterInstance, message: AnyPeerMessage, now: float
     ) -> list[Send]:
         match message:
             case Demand():
                 self._demand.update(sender, message, now)
             case Counters():
                 self.ledger.merge(message, now)
-                self._offers_by_remote_owner.pop(message.life, None)
+                self._offers_by_remote_owner.pop(message.instance, None)
             case Offer():
                 return self._forward_offer(sender, message)
             case OfferAccepted():
@@ -192,7 +192,9 @@
                 self._apply_report(sender, message, now)
         return []
 
-    def _forward_offer(self, sender: RouterLife, offer: Offer) -> list[Send]:
+    def _forward_offer(
+        self, sender: RouterInstance, offer: Offer
+    ) -> list[Send]:
         """Forward an offer from another data centre to an ingress router.
 
         Returns:
@@ -226,7 +228,7 @@
         return [Send(sender, declined)]
 
     def _accept(
-        self, sender: RouterLife, message: OfferAccepted, now: float
+        self, sender: RouterInstance, message: OfferAccepted, now: float
     ) -> None:
         allocation = self._slots.get(message.slot)
         if allocation is None or allocation.started_at is not None:
@@ -280,7 +282,7 @@
             )
 
     def _apply_report(
-        self, sender: RouterLife, report: SlotReport, now: float
+        self, sender: RouterInstance, report: SlotReport, now: float
     ) -> None:
         if self._takeover is not None:
             self._takeover.awaited_routers.discard(sender)
@@ -300,7 +302,7 @@
             allocation.lease_until = now + SLOT_LEASE_SECONDS
 
     def _take_over(
-        self, ingress_router: RouterLife, active: ActiveSlot, now: float
+        self, ingress_router: RouterInstance, active: ActiveSlot, now: float
     ) -> None:
         """Add a slot in use that another slot owner allocated."""
         if not self._slots.owns(active.upstream_id):
@@ -433,7 +435,7 @@
         estimate = self._demand.estimate_seconds(key, ingress_router)
         self._offer_count += 1
         allocation = SlotAllocation(
-            slot=SlotId(self._life, self._offer_count),
+            slot=SlotId(self._instance, self._offer_count),
             upstream_id=upstream.upstream_id,
             ingress_router=ingress_router,
             key=key,
--- a/packages/core/src/lacewingspar_core/events.py
+++ b/packages/core/src/lacewingspar_core/events.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import AnyPeerMessage, Counters
 from lacewingspar_core.slots import OwnedUpstream
 
@@ -21,19 +21,19 @@
 
     upstream_by_id: Mapping[str, OwnedUpstream]
     weight_by_workspace: Mapping[str, float]
-    routers: frozenset[RouterLife]
+    routers: frozenset[RouterInstance]
 
 
 class RouterGone(msgspec.Struct, frozen=True, tag=True):
     """A router instance has stopped or is unreachable."""
 
-    life: RouterLife
+    instance: RouterInstance = msgspec.field(name="life")
 
 
 class MessageReceived(msgspec.Struct, frozen=True, tag=True):
     """A peer message has arrived, from another router or from this one."""
 
-    sender: RouterLife
+    sender: RouterInstance
     message: AnyPeerMessage
 
 
@@ -59,7 +59,7 @@
 class Send(msgspec.Struct, frozen=True, tag=True):
     """Action: send a message to a router instance."""
 
-    receiver: RouterLife
+    receiver: RouterInstance
     message: AnyPeerMessage
 
 
--- a/packages/core/src/lacewingspar_core/identity.py
+++ b/packages/core/src/lacewingspar_core/identity.py
@@ -4,7 +4,7 @@
 import xxhash
 
 
-class RouterLife(msgspec.Struct, frozen=True, array_like=True, order=True):
+class RouterInstance(msgspec.Struct, frozen=True, array_like=True, order=True):
     """One run of a router process.
 
     Attributes:
@@ -34,16 +34,16 @@
     return (milliseconds << _RANDOM_BITS) | (random_bits & mask)
 
 
-def start_ms(life: RouterLife) -> int:
+def started_at_ms(instance: RouterInstance) -> int:
     """Return an instance's start time in milliseconds since the Unix epoch."""
-    return life.incarnation >> _RANDOM_BITS
+    return instance.incarnation >> _RANDOM_BITS
 
 
-def life_key(life: RouterLife) -> int:
+def instance_key(instance: RouterInstance) -> int:
     """Return a 32-bit hash that identifies an instance in member updates.
 
     Among 390 instances, two share a key in one of 57,000 fleets. One of them
     then counts as alive by the heartbeats of the other until either restarts.
     """
-    text = f"{life.router_id}/{life.incarnation}"
+    text = f"{instance.router_id}/{instance.incarnation}"
     return xxhash.xxh32_intdigest(text.encode())
--- a/packages/core/src/lacewingspar_core/ledger.py
+++ b/packages/core/src/lacewingspar_core/ledger.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import CounterEntry, Counters
 
 # Partitions between regions sometimes last an hour. Counters are kept for
@@ -46,17 +46,17 @@
 
     Args:
         service: Name of the service.
-        life: This router instance.
+        instance: This router instance.
         data_centre: Data centre of this router.
     """
 
     def __init__(
-        self, service: str, life: RouterLife, data_centre: str
+        self, service: str, instance: RouterInstance, data_centre: str
     ) -> None:
         self.service = service
-        self._life = life
+        self._instance = instance
         self._own = _OwnerCounters(data_centre, last_received_at=0.0)
-        self._counters_by_instance: dict[RouterLife, _OwnerCounters] = {}
+        self._counters_by_instance: dict[RouterInstance, _OwnerCounters] = {}
         self._weight_by_workspace: dict[str, float] = {}
         self._score_by_workspace: dict[str, float] = {}
         self._pending_by_workspace: dict[str, float] = {}
@@ -128,7 +128,7 @@
         """
         order = self._tie_break_rank_by_workspace.get(workspace)
         if order is None:
-            text = f"{self._life.router_id}/{workspace}".encode()
+            text = f"{self._instance.router_id}/{workspace}".encode()
             order = xxhash.xxh64_intdigest(text)
             self._tie_break_rank_by_workspace[workspace] = order
         return order
@@ -180,7 +180,7 @@
             return None
         own.sequence += 1
         return Counters(
-            life=self._life,
+            instance=self._instance,
             service=self.service,
             data_centre=own.data_centre,
             sequence=own.sequence,
@@ -199,21 +199,21 @@
                 are ignored.
             now: Time in seconds.
         """
-        if message.life == self._life:
+        if message.instance == self._instance:
             return
-        counters = self._counters_by_instance.get(message.life)
+        counters = self._counters_by_instance.get(message.instance)
         is_first = counters is None
         if counters is None:
             counters = _OwnerCounters(message.data_centre, last_received_at=now)
-            self._counters_by_instance[message.life] = counters
+            self._counters_by_instance[message.instance] = counters
         for entry in message.entries:
             self._merge_served(counters, entry, is_baseline=is_first)
         if message.sequence > counters.sequence:
             self._merge_gauges(counters, message, now)
 
-    def mark_unreachable(self, life: RouterLife) -> None:
+    def mark_unreachable(self, instance: RouterInstance) -> None:
         """Mark an instance as unreachable and drop its pending slot time."""
-        counters = self._counters_by_instance.get(life)
+        counters = self._counters_by_instance.get(instance)
         if counters is None:
             return
         for workspace, pending in counters.pending_by_workspace.items():
@@ -233,22 +233,22 @@
 
     def remove_expired_counters(self, now: float) -> None:
         """Remove the counters of instances that stopped sending them."""
-        for life, counters in list(self._counters_by_instance.items()):
+        for instance, counters in list(self._counters_by_instance.items()):
             if now - counters.last_received_at > COUNTERS_RETENTION_SECONDS:
-                self.mark_unreachable(life)
-                del self._counters_by_instance[life]
+                self.mark_unreachable(instance)
+                del self._counters_by_instance[instance]
 
     def remote_waiting_by_owner(
         self, now: float
-    ) -> dict[RouterLife, dict[str, int]]:
+    ) -> dict[RouterInstance, dict[str, int]]:
         """Return the waiting requests in other data centres.
 
         Returns:
             Number of requests by workspace, for each active slot owner.
         """
         return {
-            life: counters.waiting_by_workspace
-            for life, counters in self._counters_by_instance.items()
+            instance: counters.waiting_by_workspace
+            for instance, counters in self._counters_by_instance.items()
             if counters.data_centre != self._own.data_centre
             and counters.waiting_by_workspace
             and _is_active(counters, now)
--- a/packages/core/src/lacewingspar_core/membership.py
+++ b/packages/core/src/lacewingspar_core/membership.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lacewingspar_core.identity import life_key
+from lacewingspar_core.identity import instance_key
 from lacewingspar_core.messages import (
     Heartbeat,
     MemberRecord,
@@ -121,7 +121,7 @@
         self._generator = generator
 
     @property
-    def own(self) -> MemberRecord:
+    def own_record(self) -> MemberRecord:
         """Return the record of this router."""
         return self._own
 
@@ -131,13 +131,15 @@
             if seed.router_id != self._own.life.router_id:
                 self._seed_by_id[seed.router_id] = seed
 
-    def set_own(self, state: RouterState, applied_offset: int) -> None:
+    def update_own_record(
+        self, state: RouterState, applied_offset: int
+    ) -> None:
         """Update the state and the offset that this router announces."""
         self._own = msgspec.structs.replace(
             self._own, state=state, applied_offset=applied_offset
         )
 
-    def beat(self, now: float) -> tuple[Heartbeat, list[str]]:
+    def next_heartbeat(self, now: float) -> tuple[Heartbeat, list[str]]:
         """Increase the own heartbeat counter and build the next heartbeat.
 
         Returns:
@@ -149,7 +151,7 @@
         self._remove_expired(now)
         return self._build_heartbeat(now), self._receivers()
 
-    def take_tables(self, now: float) -> tuple[Heartbeat | None, list[str]]:
+    def next_full_table(self, now: float) -> tuple[Heartbeat | None, list[str]]:
         """Return the full table and the next routers to send it to.
 
         Each call returns at most `FULL_TABLES_PER_HEARTBEAT` receivers; the
@@ -172,7 +174,7 @@
         for record in heartbeat.members:
             if record.life.router_id != self._own.life.router_id:
                 self._merge_record(record, now)
-        for update in heartbeat.beats:
+        for update in heartbeat.member_updates:
             self._merge_update(update, sender.applied_offset, now)
 
     def alive(self, now: float) -> dict[str, MemberRecord]:
@@ -258,8 +260,10 @@
         }
         return Heartbeat(
             members=(self._own, *(item.record for item in records)),
-            beats=tuple(self._update_of(item) for item in chosen.values()),
-            known=len(alive) + 1,
+            member_updates=tuple(
+                self._update_of(item) for item in chosen.values()
+            ),
+            alive_count=len(alive) + 1,
         )
 
     def _sample(self, members: list[_Member], count: int) -> list[_Member]:
@@ -270,7 +274,7 @@
     def _update_of(self, member: _Member) -> MemberUpdate:
         record = member.record
         return MemberUpdate(
-            life_key(record.life),
+            instance_key(record.life),
             record.heartbeat,
             _STATES.index(record.state),
             self._own.applied_offset - record.applied_offset,
@@ -282,7 +286,7 @@
         if known is None or record.life > known.record.life:
             self._remove(router_id)
             self._member_by_id[router_id] = _Member(record, now, now, now)
-            self._id_by_instance_key[life_key(record.life)] = router_id
+            self._id_by_instance_key[instance_key(record.life)] = router_id
             self._local_member_count += (
                 record.data_centre == self._own.data_centre
             )
@@ -325,7 +329,7 @@
             or sender.life.router_id == self._own.life.router_id
         ):
             return
-        known = heartbeat.known or len(heartbeat.members)
+        known = heartbeat.alive_count or len(heartbeat.members)
         if known + MAX_MISSING_ROUTERS < len(self._alive_members(now)):
             self._full_table_receivers.setdefault(sender.life.router_id)
 
@@ -378,6 +382,6 @@
         member = self._member_by_id.pop(router_id, None)
         if member is None:
             return
-        self._id_by_instance_key.pop(life_key(member.record.life), None)
+        self._id_by_instance_key.pop(instance_key(member.record.life), None)
         is_local = member.record.data_centre == self._own.data_centre
         self._local_member_count -= is_local
--- a/packages/core/src/lacewingspar_core/messages.py
+++ b/packages/core/src/lacewingspar_core/messages.py
@@ -14,7 +14,7 @@
     RunStarted,
 )
 from lacewingspar_core.errors import MessageDecodeError
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.peer_message import PeerMessage
 from lacewingspar_core.state_messages import (
     StateNotice,
@@ -60,7 +60,8 @@
             handed over to the router.
     """
 
-    life: RouterLife
+    # The status call writes this field under its name.
+    life: RouterInstance
     data_centre: str
     address: str
     state: RouterState
@@ -76,7 +77,7 @@
     It takes 13 bytes; a full record takes about 95.
 
     Attributes:
-        instance_key: Result of `life_key` for the member's instance.
+        instance_key: Result of `instance_key` for the member's instance.
         heartbeat: Number of heartbeats that this instance has sent.
         state: Position of its state in `RouterState`.
         offset_lag: Applied offset of the sender minus that of the member.
@@ -93,14 +94,14 @@
 
     Attributes:
         members: Full records, the sender's own first.
-        beats: Updates of members that receivers know already.
-        known: Number of routers that the sender considers alive, including
+        member_updates: Updates of members that receivers know already.
+        alive_count: Number of routers that the sender considers alive, including
             itself; 0 if `members` lists all of them.
     """
 
     members: tuple[MemberRecord, ...]
-    beats: tuple[MemberUpdate, ...] = ()
-    known: int = 0
+    member_updates: tuple[MemberUpdate, ...] = ()
+    alive_count: int = 0
 
 
 class DemandEntry(msgspec.Struct, frozen=True, array_like=True):
@@ -214,7 +215,7 @@
 class SlotId(msgspec.Struct, frozen=True, array_like=True):
     """Id of one use of a slot: granting router instance and offer number."""
 
-    owner: RouterLife
+    owner: RouterInstance
     offer_id: int
 
 
@@ -274,7 +275,7 @@
     """Slot time counters of one router instance for one service.
 
     Attributes:
-        life: Router instance that granted the slot time.
+        instance: Router instance that granted the slot time.
         service: Name of the service.
         data_centre: Data centre of that instance.
         sequence: Increases with every message about this instance and service.
@@ -282,7 +283,7 @@
         entries: Changed counters.
     """
 
-    life: RouterLife
+    instance: RouterInstance
     service: str
     data_centre: str
     sequence: int
--- a/packages/core/src/lacewingspar_core/pool_admission.py
+++ b/packages/core/src/lacewingspar_core/pool_admission.py
@@ -25,7 +25,7 @@
 from lacewingspar_core.declined_requests import FirstAttemptTargets
 from lacewingspar_core.directory import UpstreamEntry
 from lacewingspar_core.fair_queue import FairQueue
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.placement import Placement, PoolMember
 from lacewingspar_core.recent_declines import MAX_RETRY_AFTER_FRACTION
 from lacewingspar_core.routing import UpstreamService
@@ -205,7 +205,7 @@
             member.breaker.note_unreachable(now)
 
     def reconcile(
-        self, holder: RouterLife, runs: Iterable[ActiveRun], now: float
+        self, holder: RouterInstance, runs: Iterable[ActiveRun], now: float
     ) -> list[AdmissionDecision]:
         """Reconcile the known runs with an ingress router's report.
 
@@ -229,7 +229,7 @@
         return self._grant_waiting(now)
 
     def forget_holder(
-        self, holder: RouterLife, now: float
+        self, holder: RouterInstance, now: float
     ) -> list[AdmissionDecision]:
         """Drop all requests of an ingress router that has left the fleet."""
         for key in list(self._upstream_by_run):
--- a/packages/core/src/lacewingspar_core/quarantine.py
+++ b/packages/core/src/lacewingspar_core/quarantine.py
@@ -118,7 +118,7 @@
             )
         )
 
-    def on_crash(
+    def record_crash(
         self,
         upstream_id: str,
         epoch: int,
@@ -138,7 +138,7 @@
         self._changed.add((upstream_id, epoch))
         self._expire(now)
 
-    def on_success(self, fingerprint: str, now: float) -> None:
+    def record_success(self, fingerprint: str, now: float) -> None:
         """Record a completed request, which clears it of the known crashes."""
         crash_ids = self._crash_ids_by_fingerprint.get(fingerprint)
         if crash_ids is None:
--- a/packages/core/src/lacewingspar_core/replay.py
+++ b/packages/core/src/lacewingspar_core/replay.py
@@ -8,7 +8,7 @@
 from lacewingspar_core.dispatch import SlotOwner
 from lacewingspar_core.errors import TraceError
 from lacewingspar_core.events import OwnerAction, OwnerEvent, Send
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import Offer
 
 
@@ -16,11 +16,11 @@
     """First line of a trace.
 
     Attributes:
-        life: Router instance that recorded the trace.
+        instance: Router instance that recorded the trace.
         data_centre: Data centre of that router.
     """
 
-    life: RouterLife
+    instance: RouterInstance = msgspec.field(name="life")
     data_centre: str
 
 
@@ -99,7 +99,7 @@
     for step in steps:
         owner = owner_by_service.get(step.service)
         if owner is None:
-            owner = SlotOwner(step.service, header.life, header.data_centre)
+            owner = SlotOwner(step.service, header.instance, header.data_centre)
             owner_by_service[step.service] = owner
         replayed = tuple(owner.handle(step.event, step.now))
         mismatch = None
--- a/packages/core/src/lacewingspar_core/selection.py
+++ b/packages/core/src/lacewingspar_core/selection.py
@@ -5,7 +5,7 @@
 
 from lacewingspar_core.costs import CostTable
 from lacewingspar_core.demand import DemandKey
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.ledger import ServiceLedger
 
 # A backlogged workspace without a grant for this many grant intervals of an
@@ -28,7 +28,7 @@
     """
 
     key: DemandKey
-    owner: RouterLife | None = None
+    owner: RouterInstance | None = None
 
 
 class WorkspaceSelector:
--- a/packages/core/src/lacewingspar_core/slots.py
+++ b/packages/core/src/lacewingspar_core/slots.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from lacewingspar_core.demand import DemandKey
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import SlotId
 
 
@@ -51,7 +51,7 @@
 
     slot: SlotId
     upstream_id: str
-    ingress_router: RouterLife
+    ingress_router: RouterInstance
     key: DemandKey
     offered_at: float
     estimate_seconds: float
--- a/packages/core/src/lacewingspar_core/state_messages.py
+++ b/packages/core/src/lacewingspar_core/state_messages.py
@@ -55,7 +55,7 @@
             receiver's offset.
         is_listing: Whether the records are the complete list, so that all other
             upstreams were removed.
-        may_have_lapsed: Whether upstreams may be missing because the log was
+        may_have_expired: Whether upstreams may be missing because the log was
             disrupted.
     """
 
@@ -64,4 +64,4 @@
     directory_offset: int
     records: tuple[DirectoryRecord, ...]
     is_listing: bool
-    may_have_lapsed: bool
+    may_have_expired: bool
--- a/packages/core/src/lacewingspar_core/suspects.py
+++ b/packages/core/src/lacewingspar_core/suspects.py
@@ -1,7 +1,7 @@
 """Reservations of upstreams for requests suspected of crashing them.
 
 A router reserves an upstream for a suspect and announces the reservation. It
-sends the suspect after `SETTLE_SECONDS`, unless a router of lower
+sends the suspect after `RESERVATION_DELAY_SECONDS`, unless a router of lower
 rank has announced a conflicting run. Two reservations conflict if they have the
 same upstream or the same fingerprint.
 
@@ -15,13 +15,13 @@
 
 from dataclasses import dataclass
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import SuspectRun, SuspectRuns
 
-SETTLE_SECONDS = 0.1
+RESERVATION_DELAY_SECONDS = 0.1
 # Announcements are repeated, so that a lost one has no lasting effect.
-RENEW_SECONDS = 1.0
-EXPIRY_SECONDS = 3.0
+ANNOUNCEMENT_INTERVAL_SECONDS = 1.0
+RESERVATION_EXPIRY_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,28 +38,28 @@
 
     Args:
         service: Name of the service.
-        life: Instance of this router.
+        instance: Instance of this router.
     """
 
-    def __init__(self, service: str, life: RouterLife) -> None:
+    def __init__(self, service: str, instance: RouterInstance) -> None:
         self.service = service
-        self._life = life
+        self._instance = instance
         self._sequence = 0
         self._own_runs: list[SuspectRun] = []
-        self._announcement_by_instance: dict[RouterLife, _Announcement] = {}
+        self._announcement_by_instance: dict[RouterInstance, _Announcement] = {}
 
     @property
     def has_own_runs(self) -> bool:
         """Return whether this router has reservations."""
         return bool(self._own_runs)
 
-    def busy_upstreams(self, now: float) -> frozenset[str]:
+    def reserved_upstreams(self, now: float) -> frozenset[str]:
         """Return the upstreams that are reserved for a suspect."""
         return frozenset(
             run.upstream_id for _, run in self._active_reservations(now)
         )
 
-    def is_running(self, fingerprint: str, now: float) -> bool:
+    def is_reserved(self, fingerprint: str, now: float) -> bool:
         """Return whether there is a reservation for a request."""
         return any(
             run.fingerprint == fingerprint
@@ -80,8 +80,8 @@
         """Return whether a router of lower rank has a conflicting run."""
         return any(
             _conflicts(run, other)
-            for life, other in self._active_reservations(now)
-            if life < self._life
+            for instance, other in self._active_reservations(now)
+            if instance < self._instance
         )
 
     def release(self, run: SuspectRun) -> None:
@@ -90,19 +90,19 @@
             self._own_runs.remove(run)
 
     def merge(
-        self, sender: RouterLife, message: SuspectRuns, now: float
+        self, sender: RouterInstance, message: SuspectRuns, now: float
     ) -> None:
         """Store the reservations that another router has announced."""
         known = self._announcement_by_instance.get(sender)
         if known is not None and known.sequence >= message.sequence:
             return
         self._announcement_by_instance = {
-            life: announcement
-            for life, announcement in self._announcement_by_instance.items()
+            instance: announcement
+            for instance, announcement in self._announcement_by_instance.items()
             if now < announcement.expires_at
         }
         self._announcement_by_instance[sender] = _Announcement(
-            message.sequence, message.runs, now + EXPIRY_SECONDS
+            message.sequence, message.runs, now + RESERVATION_EXPIRY_SECONDS
         )
 
     def publish(self) -> SuspectRuns:
@@ -112,12 +112,12 @@
 
     def _active_reservations(
         self, now: float
-    ) -> list[tuple[RouterLife, SuspectRun]]:
+    ) -> list[tuple[RouterInstance, SuspectRun]]:
         """Return the reservations of all routers that have not expired."""
-        known = [(self._life, run) for run in self._own_runs]
-        for life, announcement in self._announcement_by_instance.items():
+        known = [(self._instance, run) for run in self._own_runs]
+        for instance, announcement in self._announcement_by_instance.items():
             if now < announcement.expires_at:
-                known += [(life, run) for run in announcement.runs]
+                known += [(instance, run) for run in announcement.runs]
         return known
 
 
--- a/packages/router/src/lacewingspar_router/application.py
+++ b/packages/router/src/lacewingspar_router/application.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from lacewingspar_core.identity import RouterLife, new_incarnation
+from lacewingspar_core.identity import RouterInstance, new_incarnation
 from lacewingspar_router.errors import (
     ComponentNotReadyError,
     ComponentSetupError,
@@ -54,7 +54,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.random = random.Random()
-        self.life = RouterLife(
+        self.instance = RouterInstance(
             settings.router_id,
             new_incarnation(time.time(), self.random.getrandbits(12)),
         )
@@ -115,7 +115,7 @@
         for name, setup in setup_functions:
             await self._async_setup(name, setup)
         self.life_cycle = LifeCycle.SERVING
-        _LOGGER.info("router started", router_id=self.life.router_id)
+        _LOGGER.info("router started", router_id=self.instance.router_id)
 
     async def async_drain(self) -> None:
         """Stop taking new work and wait for the work in flight."""
--- a/packages/router/src/lacewingspar_router/components/admin_api/status.py
+++ b/packages/router/src/lacewingspar_router/components/admin_api/status.py
@@ -100,8 +100,8 @@
     upstreams = application.get(UPSTREAMS).status_by_upstream
     alive = application.get(PEERS).alive_by_router_id
     return {
-        "router_id": application.life.router_id,
-        "incarnation": application.life.incarnation,
+        "router_id": application.instance.router_id,
+        "incarnation": application.instance.incarnation,
         "data_centre": application.settings.data_centre,
         "state": msgspec.to_builtins(_state(application)),
         "routers": [
--- a/packages/router/src/lacewingspar_router/components/admission/holder.py
+++ b/packages/router/src/lacewingspar_router/components/admission/holder.py
@@ -149,7 +149,7 @@
         if run is None or run.has_first_chunk:
             return
         run.has_first_chunk = True
-        if run.owner == self._app.life.router_id:
+        if run.owner == self._app.instance.router_id:
             self._owned_pools.note_first_part(run.pool, run.admission.key)
             return
         self._peers.send(
@@ -186,8 +186,8 @@
             )
         for (pool, owner), runs in reported.items():
             report = RunReport(pool.service, pool.shard, tuple(runs))
-            if owner == self._app.life.router_id:
-                self._owned_pools.reconcile(self._app.life, report)
+            if owner == self._app.instance.router_id:
+                self._owned_pools.reconcile(self._app.instance, report)
             else:
                 self._peers.send(owner, report)
 
@@ -246,13 +246,13 @@
             return None
 
     def _response_timeout(self, pending: _PendingRequest) -> float | None:
-        if pending.owner == self._app.life.router_id:
+        if pending.owner == self._app.instance.router_id:
             return None
         return const.ASK_TIMEOUT_SECONDS
 
     def _send_request(self, pending: _PendingRequest) -> None:
         admission = pending.admission
-        if pending.owner == self._app.life.router_id:
+        if pending.owner == self._app.instance.router_id:
             self._owned_pools.ask(pending.pool, admission)
             return
         request = encode_request(pending.pool, admission, self._app.now())
@@ -276,7 +276,7 @@
         outcome: RunOutcome,
         unreachable: str,
     ) -> None:
-        if owner == self._app.life.router_id:
+        if owner == self._app.instance.router_id:
             self._owned_pools.end(pool, key, outcome, unreachable)
             return
         message = RunEnded(
@@ -347,7 +347,7 @@
         number: int,
     ) -> Admission:
         return Admission(
-            key=AdmissionKey(self._app.life, number),
+            key=AdmissionKey(self._app.instance, number),
             workspace=requirements.workspace,
             data_centre=self._app.settings.data_centre,
             shared_parts=requirements.shared_parts,
@@ -378,8 +378,8 @@
     ) -> None:
         """Deliver the decision of an owned pool to the ingress router."""
         key = decision.key
-        if key.holder == self._app.life:
-            self._enqueue_decision(self._app.life.router_id, decision)
+        if key.holder == self._app.instance:
+            self._enqueue_decision(self._app.instance.router_id, decision)
             return
         self._peers.send(
             key.holder.router_id, encode_decision(service, decision)
@@ -394,6 +394,6 @@
             pending.decisions.put_nowait(decision)
 
     def _on_decision(self, received: ReceivedMessage) -> None:
-        decision = decode_decision(self._app.life, received.message)
+        decision = decode_decision(self._app.instance, received.message)
         if decision is not None:
             self._enqueue_decision(received.sender.router_id, decision)
--- a/packages/router/src/lacewingspar_router/components/admission/messages.py
+++ b/packages/router/src/lacewingspar_router/components/admission/messages.py
@@ -14,7 +14,7 @@
     AdmissionQueued,
     AdmissionRequest,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import AnyPeerMessage
 from lacewingspar_core.prefix_memory import PromptPart
 from lacewingspar_router.components.admission.pools import Pool
@@ -50,7 +50,7 @@
 
 
 def decode_request(
-    ingress_router: RouterLife,
+    ingress_router: RouterInstance,
     data_centre: str,
     request: AdmissionRequest,
     now: float,
@@ -101,7 +101,7 @@
 
 
 def decode_decision(
-    ingress_router: RouterLife, message: AnyPeerMessage
+    ingress_router: RouterInstance, message: AnyPeerMessage
 ) -> AdmissionDecision | None:
     """Return the decision in a message, or None for other messages."""
     match message:
--- a/packages/router/src/lacewingspar_router/components/admission/owner.py
+++ b/packages/router/src/lacewingspar_router/components/admission/owner.py
@@ -16,7 +16,7 @@
     RunReport,
     RunStarted,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.pool_admission import PoolAdmission
 from lacewingspar_core.upstream_load import ActiveRun
 from lacewingspar_router.application import Application
@@ -49,7 +49,7 @@
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
         self._admission_by_pool: dict[Pool, PoolAdmission] = {}
-        self._known_instances: set[RouterLife] = set()
+        self._known_instances: set[RouterInstance] = set()
         self._peers.subscribe(AdmissionRequest, self._on_request)
         self._peers.subscribe(RunStarted, self._on_started)
         self._peers.subscribe(RunEnded, self._on_ended)
@@ -141,7 +141,7 @@
         if service is None:
             return
         engines = sum(
-            len(self._routing.directory.usable(name))
+            len(self._routing.directory.ready_upstreams(name))
             for name, item in configuration.service_by_name.items()
             if item.engine is not None
         )
@@ -166,14 +166,14 @@
             record.life for record in self._peers.alive_by_router_id.values()
         }
         now = self._app.now()
-        for life in self._known_instances - instances:
+        for instance in self._known_instances - instances:
             _LOGGER.warning(
-                "peer router is no longer alive", router_id=life.router_id
+                "peer router is no longer alive", router_id=instance.router_id
             )
             for pool, admission in self._admission_by_pool.items():
-                self._deliver_all(pool, admission.forget_holder(life, now))
-        for life in instances - self._known_instances:
-            _LOGGER.info("peer router discovered", router_id=life.router_id)
+                self._deliver_all(pool, admission.forget_holder(instance, now))
+        for instance in instances - self._known_instances:
+            _LOGGER.info("peer router discovered", router_id=instance.router_id)
         self._known_instances = instances
 
     def _on_request(self, received: ReceivedMessage) -> None:
@@ -210,7 +210,9 @@
         assert isinstance(report, RunReport)
         self.reconcile(received.sender, report)
 
-    def reconcile(self, ingress_router: RouterLife, report: RunReport) -> None:
+    def reconcile(
+        self, ingress_router: RouterInstance, report: RunReport
+    ) -> None:
         """Update the recorded runs of an ingress router to match its report."""
         now = self._app.now()
         runs = [
--- a/packages/router/src/lacewingspar_router/components/admission/pools.py
+++ b/packages/router/src/lacewingspar_router/components/admission/pools.py
@@ -32,7 +32,7 @@
 
 def pool_members(routing: RoutingView, pool: Pool) -> dict[str, UpstreamEntry]:
     """Return the upstreams of a pool that accept requests, by ID."""
-    usable = routing.directory.usable(pool.service)
+    usable = routing.directory.ready_upstreams(pool.service)
     shards = shard_count(len(usable))
     return {
         upstream_id: entry
@@ -76,7 +76,7 @@
         """Return the number of upstreams of each shard."""
         weights = self._weights_by_service.get(service)
         if weights is None:
-            usable = self._routing.directory.usable(service)
+            usable = self._routing.directory.ready_upstreams(service)
             shards = shard_count(len(usable))
             weights = [0] * shards
             for upstream_id in usable:
@@ -96,7 +96,7 @@
     def __init__(self, app: Application, pool_selector: PoolSelector) -> None:
         self._app = app
         self._pool_selector = pool_selector
-        self._own_id = app.life.router_id
+        self._own_id = app.instance.router_id
         self._peers = app.get(PEERS)
         self._unresponsive_until: dict[str, float] = {}
         self._owner_by_pool: dict[Pool, str] = {}
--- a/packages/router/src/lacewingspar_router/components/claims/registry.py
+++ b/packages/router/src/lacewingspar_router/components/claims/registry.py
@@ -8,9 +8,9 @@
 import structlog
 
 from lacewingspar_core.claims import (
-    OUTCOME_BODY_BYTES,
-    SEND_LIMIT_SECONDS,
-    WINDOW_FRACTION,
+    CLAIM_SEND_TIMEOUT_SECONDS,
+    DEDUPLICATION_WINDOW_FRACTION,
+    MAX_OUTCOME_BODY_BYTES,
     Claim,
     ClaimEntry,
     ClaimRecord,
@@ -22,7 +22,7 @@
     claim_key,
     decode_record,
     encode_record,
-    is_time_expired,
+    is_key_expired,
     key_time_ms,
     may_send,
 )
@@ -132,7 +132,7 @@
             return False
         writer = self._write_release(offset)
         done, _ = await asyncio.wait({writer}, timeout=RELEASE_TIMEOUT_SECONDS)
-        return bool(done) and self._state.entry_at(offset) is None
+        return bool(done) and self._state.entry_by_offset(offset) is None
 
     def record_outcome(
         self, claim: ClaimGranted, answer: ClaimAnswered
@@ -140,12 +140,12 @@
         """Record the first answer for later attempts, in the background."""
         offset = claim.claim_offset
         body = answer.body
-        if body is not None and len(body) > OUTCOME_BODY_BYTES:
+        if body is not None and len(body) > MAX_OUTCOME_BODY_BYTES:
             body = None
         self._write(
             Outcome(offset, answer.status, answer.content_type, body),
             lambda: (
-                (entry := self._state.entry_at(offset)) is None
+                (entry := self._state.entry_by_offset(offset)) is None
                 or entry.outcome is not None
             ),
         )
@@ -180,14 +180,14 @@
         self, scoped_key: bytes, key: str, digest: bytes
     ) -> ClaimDecision | None:
         """Return the decision on a key that needs no claim of its own."""
-        entry = self._state.entry_of(scoped_key)
+        entry = self._state.entry_by_key(scoped_key)
         if entry is not None:
             return self._answer(entry, digest)
         # The log's time counts too, in case this router's clock is behind.
         now_ms = max(int(time.time() * 1000), self._state.newest_ms)
         if not self._is_current:
             return ClaimUnavailable()
-        if is_time_expired(key_time_ms(key), now_ms, self._state.window_ms):
+        if is_key_expired(key_time_ms(key), now_ms, self._state.window_ms):
             return ClaimKeyExpired()
         return None
 
@@ -200,9 +200,11 @@
             return ClaimAnswered(
                 outcome.status, outcome.content_type, outcome.body
             )
-        life = entry.claim.life
-        member = self._peers.alive_by_router_id.get(life.router_id)
-        if life == self._app.life or (member and member.life == life):
+        instance = entry.claim.instance
+        member = self._peers.alive_by_router_id.get(instance.router_id)
+        if instance == self._app.instance or (
+            member and member.life == instance
+        ):
             return ClaimInProgress()
         return ClaimUnknown()
 
@@ -215,7 +217,7 @@
         self._waiting_by_sequence[sequence] = _WaitingClaim(
             self._app.now(), key_time, future
         )
-        claim = Claim(scoped_key, digest, self._app.life, sequence)
+        claim = Claim(scoped_key, digest, self._app.instance, sequence)
         self._app.create_task(
             self._async_send_claim(claim, future), "append claim"
         )
@@ -251,7 +253,9 @@
 
     def _add_page(self, page: LogPage) -> None:
         state = self._state
-        state.window_ms = int(page.retention_seconds * 1000 * WINDOW_FRACTION)
+        state.window_ms = int(
+            page.retention_seconds * 1000 * DEDUPLICATION_WINDOW_FRACTION
+        )
         state.skip_to(page.first_retained)
         for record in page.records:
             self._apply(record)
@@ -265,12 +269,12 @@
         if stored.offset < self._state.next_offset:
             return
         apply_claim_record(self._state, stored.offset, stored.time_ms, record)
-        if isinstance(record, Claim) and record.life == self._app.life:
+        if isinstance(record, Claim) and record.instance == self._app.instance:
             self._settle_own_claim(stored.offset, record)
 
     def _settle_own_claim(self, offset: int, claim: Claim) -> None:
         """Decide on a claim of this router that has been read back."""
-        entry = self._state.entry_at(offset)
+        entry = self._state.entry_by_offset(offset)
         waiting = self._waiting_by_sequence.pop(claim.sequence, None)
         is_wanted = waiting is not None and not waiting.decision.done()
         if entry is None or not entry.has_won or not is_wanted:
@@ -279,13 +283,16 @@
             return
         if entry.has_won:
             own = OwnClaim(
-                self._app.life, offset, waiting.appended_at, waiting.key_time_ms
+                self._app.instance,
+                offset,
+                waiting.appended_at,
+                waiting.key_time_ms,
             )
             self._unsent_by_offset[offset] = own
-            send_before = waiting.appended_at + SEND_LIMIT_SECONDS
+            send_before = waiting.appended_at + CLAIM_SEND_TIMEOUT_SECONDS
             waiting.decision.set_result(ClaimGranted(offset, send_before))
             return
-        holder = self._state.entry_of(claim.key) or entry
+        holder = self._state.entry_by_key(claim.key) or entry
         waiting.decision.set_result(self._answer(holder, claim.digest))
 
     def _release_granted(self, decision: ClaimDecision) -> None:
@@ -297,7 +304,7 @@
 
     def _write_release(self, offset: int) -> asyncio.Task[None]:
         return self._write(
-            Release(offset), lambda: self._state.entry_at(offset) is None
+            Release(offset), lambda: self._state.entry_by_offset(offset) is None
         )
 
     def _write(
--- a/packages/router/src/lacewingspar_router/components/configuration/store.py
+++ b/packages/router/src/lacewingspar_router/components/configuration/store.py
@@ -174,7 +174,7 @@
             try:
                 page = await self._log.async_read(
                     STREAM_CONFIGURATION,
-                    self._replica.wanted_offset,
+                    self._replica.next_read_offset,
                     wait_seconds=wait_seconds,
                 )
             except LogUnavailableError as error:
@@ -248,7 +248,7 @@
     def _ask_peers(self) -> None:
         """Ask one peer here and one elsewhere for records that are missing."""
         alive = dict(self._peers.alive_by_router_id)
-        alive.pop(self._app.life.router_id, None)
+        alive.pop(self._app.instance.router_id, None)
         newest = max((m.applied_offset for m in alive.values()), default=0)
         is_behind = (
             newest > self.applied_offset <= self._offset_at_last_exchange
@@ -277,7 +277,7 @@
         A router that starts reports 0 and asks for itself.
         """
         alive = self._peers.alive_by_router_id
-        own_id = self._app.life.router_id
+        own_id = self._app.instance.router_id
         own_data_centre = self._app.settings.data_centre
         offset = self._offset_at_last_exchange
         current_by_data_centre: dict[str, list[str]] = {own_data_centre: []}
@@ -317,7 +317,7 @@
         task = self._snapshot_task
         if task is not None and not task.done():
             return False
-        is_current = self._is_ready and not self._replica.is_stalled
+        is_current = self._is_ready and not self._replica.has_gap
         if not (self._is_log_readable and is_current):
             return False
         if snapshot_time_ms is None:
@@ -328,7 +328,7 @@
             retention_seconds=self._retention_seconds,
             bytes_since_snapshot=self._replica.bytes_since_snapshot,
             rank=rank_of(
-                self._app.life.router_id, RANK_KEY_SNAPSHOT, router_ids
+                self._app.instance.router_id, RANK_KEY_SNAPSHOT, router_ids
             ),
         )
         return delay <= 0
--- a/packages/router/src/lacewingspar_router/components/forwarding/crash_guard.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/crash_guard.py
@@ -116,7 +116,7 @@
         """Record that a request got its complete response."""
         state = self._exchange.known_state(run.service)
         if state is not None:
-            state.on_success(run.fingerprint, self._app.now())
+            state.record_success(run.fingerprint, self._app.now())
             self._exchange.publish(state)
 
     def _discard_run(self, run: GuardedRun) -> None:
@@ -158,7 +158,9 @@
         }
         epoch = max([suspect.epoch for suspect in runs] + [run.epoch])
         state = self._exchange.state(run.service)
-        state.on_crash(run.upstream_id, epoch, fingerprints, self._app.now())
+        state.record_crash(
+            run.upstream_id, epoch, fingerprints, self._app.now()
+        )
         _LOGGER.warning(
             "upstream crashed",
             upstream=run.upstream_id,
--- a/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
@@ -259,7 +259,7 @@
     def _known_neighbours(self) -> list[Neighbour]:
         if self._neighbours is None:
             self._neighbours = helpful_neighbours(
-                self._app.life.router_id,
+                self._app.instance.router_id,
                 self._app.settings.data_centre,
                 self._peers.alive_by_router_id,
             )
--- a/packages/router/src/lacewingspar_router/components/peers/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/peers/__init__.py
@@ -12,7 +12,7 @@
     settings = app.settings
     platform = settings.platform
     own = MemberRecord(
-        life=app.life,
+        life=app.instance,
         data_centre=settings.data_centre,
         address=f"tcp://{settings.peer_address}",
         state=RouterState.STARTING,
--- a/packages/router/src/lacewingspar_router/components/peers/models.py
+++ b/packages/router/src/lacewingspar_router/components/peers/models.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.membership import Seed
 from lacewingspar_core.messages import (
     AnyPeerMessage,
@@ -24,7 +24,7 @@
         message: The message.
     """
 
-    sender: RouterLife
+    sender: RouterInstance
     data_centre: str
     message: AnyPeerMessage
 
--- a/packages/router/src/lacewingspar_router/components/peers/network.py
+++ b/packages/router/src/lacewingspar_router/components/peers/network.py
@@ -9,7 +9,7 @@
 import zmq.asyncio
 
 from lacewingspar_core.errors import MessageDecodeError
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.membership import (
     HEARTBEAT_INTERVAL_SECONDS,
     Membership,
@@ -45,7 +45,7 @@
 class _Envelope(msgspec.Struct, frozen=True, array_like=True):
     """First frame of a message: who sends it."""
 
-    sender: RouterLife
+    sender: RouterInstance
     data_centre: str
 
 
@@ -66,9 +66,9 @@
         self._handlers_by_type: dict[type[PeerMessage], list[Handler]] = {}
         self._listeners: list[Callable[[], None]] = []
         self._alive_by_router_id: dict[str, MemberRecord] = {}
-        self._announced: dict[str, tuple[RouterLife, RouterState]] = {}
+        self._announced: dict[str, tuple[RouterInstance, RouterState]] = {}
         self._envelope = msgspec.msgpack.encode(
-            _Envelope(app.life, app.settings.data_centre)
+            _Envelope(app.instance, app.settings.data_centre)
         )
         self._envelope_decoder = msgspec.msgpack.Decoder(_Envelope)
         self._telemetry = app.get(TELEMETRY)
@@ -112,7 +112,7 @@
         Returns:
             Number of bytes that go over the network.
         """
-        if router_id == self._app.life.router_id:
+        if router_id == self._app.instance.router_id:
             self._deliver_to_self(message)
             return 0
         address = self._membership.address_of(router_id)
@@ -163,11 +163,11 @@
         state = _STATE_BY_LIFE_CYCLE[self._app.life_cycle]
         if state is RouterState.SERVING and self._read_is_busy():
             state = RouterState.BUSY
-        self._membership.set_own(state, self._read_applied_offset())
-        heartbeat, receivers = self._membership.beat(self._app.now())
+        self._membership.update_own_record(state, self._read_applied_offset())
+        heartbeat, receivers = self._membership.next_heartbeat(self._app.now())
         for router_id in receivers:
             self.send(router_id, heartbeat)
-        table, receivers = self._membership.take_tables(self._app.now())
+        table, receivers = self._membership.next_full_table(self._app.now())
         for router_id in receivers:
             if table is not None:
                 self.send(router_id, table)
@@ -226,7 +226,7 @@
 
     def _deliver_to_self(self, message: AnyPeerMessage) -> None:
         received = ReceivedMessage(
-            self._app.life, self._app.settings.data_centre, message
+            self._app.instance, self._app.settings.data_centre, message
         )
         asyncio.get_running_loop().call_soon(self._deliver, received)
 
--- a/packages/router/src/lacewingspar_router/components/quarantine/registry.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/registry.py
@@ -165,7 +165,7 @@
     def _clear(self, subject: Subject) -> None:
         state = self._exchange.known_state(subject.service)
         if state is not None:
-            state.on_success(subject.fingerprint, self._app.now())
+            state.record_success(subject.fingerprint, self._app.now())
             self._exchange.publish(state)
 
     async def _async_confirm(
@@ -201,7 +201,7 @@
         )
         state = self._exchange.state(service)
         epoch = max(run.epoch for run in runs)
-        state.on_crash(upstream_id, epoch, suspects, self._app.now())
+        state.record_crash(upstream_id, epoch, suspects, self._app.now())
         self._exchange.publish(state)
         self._notify()
 
--- a/packages/router/src/lacewingspar_router/components/quarantine/suspects.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/suspects.py
@@ -5,8 +5,8 @@
 
 from lacewingspar_core.messages import SuspectRun, SuspectRuns
 from lacewingspar_core.suspects import (
-    RENEW_SECONDS,
-    SETTLE_SECONDS,
+    ANNOUNCEMENT_INTERVAL_SECONDS,
+    RESERVATION_DELAY_SECONDS,
     SuspectTable,
 )
 from lacewingspar_router.application import Application
@@ -46,8 +46,8 @@
         table = self._table(service)
         while True:
             now = self._app.now()
-            busy = table.busy_upstreams(now)
-            is_running = table.is_running(fingerprint, now)
+            busy = table.reserved_upstreams(now)
+            is_running = table.is_reserved(fingerprint, now)
             if not is_running and not busy.issuperset(usable()):
                 return busy
             if now >= deadline_at:
@@ -65,7 +65,7 @@
         try:
             self._announce(table)
             if len(self._peers.alive_by_router_id) > 1:
-                await asyncio.sleep(SETTLE_SECONDS)
+                await asyncio.sleep(RESERVATION_DELAY_SECONDS)
             may_run = not table.must_yield(run, self._app.now())
         finally:
             if not may_run:
@@ -82,7 +82,7 @@
     async def async_renew(self) -> None:
         """Repeat the announcements until cancelled."""
         while True:
-            await asyncio.sleep(RENEW_SECONDS)
+            await asyncio.sleep(ANNOUNCEMENT_INTERVAL_SECONDS)
             for table in self._table_by_service.values():
                 if table.has_own_runs:
                     self._announce(table)
@@ -90,14 +90,14 @@
     def _table(self, service: str) -> SuspectTable:
         table = self._table_by_service.get(service)
         if table is None:
-            table = SuspectTable(service, self._app.life)
+            table = SuspectTable(service, self._app.instance)
             self._table_by_service[service] = table
         return table
 
     def _announce(self, table: SuspectTable) -> None:
         message = table.publish()
         for router_id in self._peers.alive_by_router_id:
-            if router_id != self._app.life.router_id:
+            if router_id != self._app.instance.router_id:
                 self._peers.send(router_id, message)
 
     def _receive(self, received: ReceivedMessage) -> None:
--- a/packages/router/src/lacewingspar_router/components/routing/reader_role.py
+++ b/packages/router/src/lacewingspar_router/components/routing/reader_role.py
@@ -73,7 +73,7 @@
         return max(0.0, const.READER_CONFIRMATION_TIMEOUT_SECONDS - age)
 
     def _update_role(self) -> None:
-        own_id = self._app.life.router_id
+        own_id = self._app.instance.router_id
         data_centre = self._app.settings.data_centre
         serving = [
             router_id
--- a/packages/router/src/lacewingspar_router/components/routing/registration.py
+++ b/packages/router/src/lacewingspar_router/components/routing/registration.py
@@ -6,7 +6,7 @@
 import msgspec
 import structlog
 
-from lacewingspar_core.identity import RouterLife, start_ms
+from lacewingspar_core.identity import RouterInstance, started_at_ms
 from lacewingspar_core.membership import Seed
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.peers.models import PEERS
@@ -23,7 +23,7 @@
 class _RegisteredRouter(msgspec.Struct, frozen=True):
     """Registration of a router; each restart replaces it."""
 
-    life: RouterLife
+    instance: RouterInstance = msgspec.field(name="life")
     data_centre: str
     address: str
 
@@ -73,12 +73,12 @@
 
     async def _async_append_record(self) -> None:
         record = _RegisteredRouter(
-            self._app.life,
+            self._app.instance,
             self._app.settings.data_centre,
             f"tcp://{self._app.settings.peer_address}",
         )
         await self._topic.async_append(
-            self._app.life.router_id, msgspec.msgpack.encode(record)
+            self._app.instance.router_id, msgspec.msgpack.encode(record)
         )
 
     async def _async_contact_routers(self) -> None:
@@ -95,11 +95,11 @@
                     problem=str(error),
                 )
                 continue
-            if not self._is_stale(record.life):
+            if not self._is_stale(record.instance):
                 seeds.append(Seed(key, record.data_centre, record.address))
         self._peers.add_seeds(seeds)
         _LOGGER.info("registered routers listed", count=len(seeds))
 
-    def _is_stale(self, life: RouterLife) -> bool:
-        age_ms = start_ms(self._app.life) - start_ms(life)
+    def _is_stale(self, instance: RouterInstance) -> bool:
+        age_ms = started_at_ms(self._app.instance) - started_at_ms(instance)
         return age_ms > const.MAX_REGISTRATION_AGE_SECONDS * 1000
--- a/packages/router/src/lacewingspar_router/components/routing/state.py
+++ b/packages/router/src/lacewingspar_router/components/routing/state.py
@@ -99,7 +99,7 @@
         return self._changed_offset
 
     @property
-    def may_have_lapsed(self) -> bool:
+    def may_have_expired(self) -> bool:
         """Return whether upstream entries may have expired in an outage.
 
         While the log service is unavailable, upstreams cannot renew their
@@ -152,14 +152,14 @@
         listing: TopicListing,
         origin: str = ORIGIN_LOG,
         *,
-        may_have_lapsed: bool = False,
+        may_have_expired: bool = False,
     ) -> None:
         """Replace the directory by a full listing of the upstreams.
 
         Args:
             listing: Newest record of each upstream.
             origin: Source of the listing: `log`, or a router.
-            may_have_lapsed: Whether that router reports that entries may have
+            may_have_expired: Whether that router reports that entries may have
                 expired in an outage.
         """
         entries = self._decode(listing.record_by_key.values())
@@ -173,10 +173,10 @@
         if origin == ORIGIN_LOG:
             self._mark_available()
         self._publish_changes(
-            self._directory.replace_all(
+            self._directory.apply_listing(
                 entries,
                 self._app.now(),
-                may_have_lapsed=may_have_lapsed or self.may_have_lapsed,
+                may_have_expired=may_have_expired or self.may_have_expired,
             ),
             f"listing of {origin}",
         )
@@ -187,7 +187,7 @@
         next_offset: int,
         origin: str,
         *,
-        may_have_lapsed: bool = False,
+        may_have_expired: bool = False,
     ) -> None:
         """Apply upstream records to the directory.
 
@@ -195,19 +195,19 @@
             records: Records in order of their offsets.
             next_offset: Offset up to which the records are complete.
             origin: Source of the records: `log`, or a router.
-            may_have_lapsed: Whether that router reports that entries may have
+            may_have_expired: Whether that router reports that entries may have
                 expired in an outage.
         """
         if origin == ORIGIN_LOG:
             self._mark_available()
-        may_have_lapsed = may_have_lapsed or self.may_have_lapsed
+        may_have_expired = may_have_expired or self.may_have_expired
         changes: list[DirectoryChange] = []
         for record in records:
             known = self._record_by_upstream.get(record.key)
             if known is not None and known.offset >= record.offset:
                 continue
             self._record_by_upstream[record.key] = record
-            change = self._apply_record(record, may_have_lapsed)
+            change = self._apply_record(record, may_have_expired)
             if change is not None:
                 changes.append(change)
                 self._change_offset_by_upstream[record.key] = record.offset
@@ -272,11 +272,11 @@
         return True
 
     def _apply_record(
-        self, record: KeyedRecord, may_have_lapsed: bool
+        self, record: KeyedRecord, may_have_expired: bool
     ) -> DirectoryChange | None:
         if not record.value:
             return self._directory.remove(
-                record.key, self._app.now(), may_have_lapsed=may_have_lapsed
+                record.key, self._app.now(), may_have_expired=may_have_expired
             )
         entry = self._decode([record]).get(record.key)
         return None if entry is None else self._directory.apply(entry)
@@ -337,6 +337,6 @@
     ChangeKind.ADDED: "added",
     ChangeKind.RESTARTED: "restarted",
     ChangeKind.CHANGED: "changed",
-    ChangeKind.LAPSED: "expired during an outage of the log service",
+    ChangeKind.EXPIRED: "expired during an outage of the log service",
     ChangeKind.REMOVED: "removed",
 }
--- a/packages/router/src/lacewingspar_router/components/routing/state_synchronizer.py
+++ b/packages/router/src/lacewingspar_router/components/routing/state_synchronizer.py
@@ -64,7 +64,7 @@
         for router_id, record in self._peers.alive_by_router_id.items():
             if (
                 record.data_centre == self._app.settings.data_centre
-                and router_id != self._app.life.router_id
+                and router_id != self._app.instance.router_id
             ):
                 self._peers.send(router_id, notice)
 
@@ -87,7 +87,7 @@
         notice = self._make_notice()
         by_data_centre: dict[str, list[str]] = {}
         for router_id, record in self._peers.alive_by_router_id.items():
-            if router_id != self._app.life.router_id:
+            if router_id != self._app.instance.router_id:
                 by_data_centre.setdefault(record.data_centre, []).append(
                     router_id
                 )
@@ -154,7 +154,7 @@
         others = [
             (record.data_centre == self._app.settings.data_centre, router_id)
             for router_id, record in self._peers.alive_by_router_id.items()
-            if router_id != self._app.life.router_id
+            if router_id != self._app.instance.router_id
             and record.state is not RouterState.STARTING
         ]
         if not others:
@@ -190,7 +190,7 @@
                     for item in records
                 ),
                 is_listing=is_listing,
-                may_have_lapsed=self._state.may_have_lapsed,
+                may_have_expired=self._state.may_have_expired,
             ),
         )
 
@@ -212,12 +212,12 @@
                     {item.key: item for item in records}, reply.directory_offset
                 ),
                 origin,
-                may_have_lapsed=reply.may_have_lapsed,
+                may_have_expired=reply.may_have_expired,
             )
             return
         self._state.apply_upstream_records(
             records,
             reply.directory_offset,
             origin,
-            may_have_lapsed=reply.may_have_lapsed,
+            may_have_expired=reply.may_have_expired,
         )
--- a/packages/router/src/lacewingspar_router/components/scheduler/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/__init__.py
@@ -18,7 +18,7 @@
     """Set up the scheduler and start its periodic work."""
     recorder = None
     if app.settings.event_record_file is not None:
-        header = TraceHeader(app.life, app.settings.data_centre)
+        header = TraceHeader(app.instance, app.settings.data_centre)
         recorder = EventRecorder(Path(app.settings.event_record_file), header)
         app.on_unload("event recorder", recorder.async_close)
     scheduler = FleetScheduler(
--- a/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
@@ -17,7 +17,7 @@
     TimePassed,
     UpstreamsChanged,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import (
     Counters,
     Demand,
@@ -95,7 +95,7 @@
         self._ownership_by_service: dict[str, ServiceOwnership] = {}
         self._document_by_service: dict[str, ServiceDocument] = {}
         self._counters_schedule_by_service: dict[str, CountersSchedule] = {}
-        self._known_lives: dict[str, RouterLife] = {}
+        self._known_lives: dict[str, RouterInstance] = {}
         for message_type in _OWNER_MESSAGES:
             peers.subscribe(message_type, self._receive_as_owner)
         peers.subscribe(Offer, self._receive_offer)
@@ -135,7 +135,7 @@
         self._document_by_service = dict(documents)
         for service, document in documents.items():
             self._reconfigure_service(service, document)
-        own_id = self._app.life.router_id
+        own_id = self._app.instance.router_id
         # Each upstream answers one poller instead of its whole data centre.
         self._upstreams.set_polled(
             [
@@ -230,7 +230,7 @@
         document: ServiceDocument,
         ownership: ServiceOwnership,
     ) -> None:
-        own_id = self._app.life.router_id
+        own_id = self._app.instance.router_id
         upstream_by_id = {
             item.id: self._owned_upstream(service, item.id, item)
             for item in document.upstreams
@@ -240,7 +240,7 @@
             if not upstream_by_id:
                 return
             self._owner_by_service[service] = SlotOwner(
-                service, self._app.life, self._app.settings.data_centre
+                service, self._app.instance, self._app.settings.data_centre
             )
         event = UpstreamsChanged(
             upstream_by_id=upstream_by_id,
@@ -277,14 +277,14 @@
             for router_id, record in self._peers.alive_by_router_id.items()
         }
         gone = [
-            life
-            for router_id, life in self._known_lives.items()
-            if alive.get(router_id) != life
+            instance
+            for router_id, instance in self._known_lives.items()
+            if alive.get(router_id) != instance
         ]
         self._known_lives = alive
-        for life in gone:
+        for instance in gone:
             for service in self._owner_by_service:
-                self._handle(service, RouterGone(life))
+                self._handle(service, RouterGone(instance))
         self.reconfigure()
 
     def _upstreams_changed(self) -> None:
@@ -328,7 +328,7 @@
         if holder is not None and holder.take_offer(offer):
             return
         owner = self._owner_by_service.get(offer.service)
-        is_own = offer.slot.owner == self._app.life
+        is_own = offer.slot.owner == self._app.instance
         if owner is None or offer.is_forwarded or is_own or holder is None:
             self._decline(received, offer)
             return
@@ -372,7 +372,7 @@
                 self._peers.send(receiver.router_id, message)
                 return 0
             case Announce(counters):
-                own_id = self._app.life.router_id
+                own_id = self._app.instance.router_id
                 owners = self._ownership_by_service[service].owners
                 return sum(
                     self._peers.send(router_id, counters)
--- a/packages/router/src/lacewingspar_router/crash_exchange.py
+++ b/packages/router/src/lacewingspar_router/crash_exchange.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import Quarantine
 from lacewingspar_core.quarantine import QuarantineState
 from lacewingspar_router.application import Application
@@ -26,7 +26,7 @@
         # A service without a known crash has no state, which keeps the path
         # of its requests short.
         self._state_by_service: dict[str, QuarantineState] = {}
-        self._known_lives: set[RouterLife] = set()
+        self._known_lives: set[RouterInstance] = set()
         self._listeners: list[Callable[[], None]] = []
         self._peers.subscribe(Quarantine, self._receive)
         self._peers.add_listener(self._routers_changed)
@@ -52,7 +52,7 @@
         if message is None:
             return
         for router_id in self._peers.alive_by_router_id:
-            if router_id != self._app.life.router_id:
+            if router_id != self._app.instance.router_id:
                 self._peers.send(router_id, message)
 
     def _receive(self, received: ReceivedMessage) -> None:
@@ -68,11 +68,11 @@
         lives = {
             record.life for record in self._peers.alive_by_router_id.values()
         }
-        new = lives - self._known_lives - {self._app.life}
+        new = lives - self._known_lives - {self._app.instance}
         self._known_lives = lives
         for state in self._state_by_service.values() if new else ():
             message = state.publish(self._app.now(), full=True)
             if message is None or not message.crashes:
                 continue
-            for life in new:
-                self._peers.send(life.router_id, message)
+            for instance in new:
+                self._peers.send(instance.router_id, message)
--- a/packages/router/src/lacewingspar_router/platform/upstream_list.py
+++ b/packages/router/src/lacewingspar_router/platform/upstream_list.py
@@ -49,7 +49,7 @@
             state=entry.state,
             born_ms=entry.born,
             sequence=entry.sequence,
-            cold_seconds=entry.cold_remaining_ms / 1000,
+            warm_up_seconds=entry.cold_remaining_ms / 1000,
         )
     )
 
--- a/packages/standins/src/lacewingspar_standins/bench/capacity_core.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity_core.py
@@ -38,7 +38,7 @@
     TimePassed,
     UpstreamsChanged,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import (
     Demand,
     DemandEntry,
@@ -60,8 +60,8 @@
 # Upstreams of one service: 1,800 runners share 6 models.
 SERVICE_UPSTREAMS = 300
 SERVICE = "chat"
-_LIFE = RouterLife("router-dc-1-000", 1 << 52)
-_HOLDER = RouterLife("router-dc-1-001", 1 << 52)
+_LIFE = RouterInstance("router-dc-1-000", 1 << 52)
+_HOLDER = RouterInstance("router-dc-1-001", 1 << 52)
 _GRANTS = 400
 # Backlogged workspaces of one of 6 services.
 _SERVICE_BACKLOGGED = 70
@@ -147,7 +147,7 @@
     for sequence in range(_HOLDER_ROUNDS):
         demand = Demand(SERVICE, sequence, True, entries)
         events += [
-            MessageReceived(RouterLife(f"router-{index:03}", 1), demand)
+            MessageReceived(RouterInstance(f"router-{index:03}", 1), demand)
             for index in range(holders)
         ]
     for event in events[:holders]:
--- a/packages/standins/src/lacewingspar_standins/bench/gossip.py
+++ b/packages/standins/src/lacewingspar_standins/bench/gossip.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.membership import (
     HEARTBEAT_INTERVAL_SECONDS,
     Membership,
@@ -92,7 +92,8 @@
         unaware = {
             other
             for other, membership in self.membership_by_id.items()
-            if membership.own.data_centre == failed.own.data_centre
+            if membership.own_record.data_centre
+            == failed.own_record.data_centre
         }
         for other in self._beats(self.now + seconds):
             self._beat(other)
@@ -121,13 +122,13 @@
     def _beat(self, router_id: str) -> None:
         started_at = time.process_time()
         membership = self.membership_by_id[router_id]
-        heartbeat, receivers = membership.beat(self.now)
+        heartbeat, receivers = membership.next_heartbeat(self.now)
         data = encode_message(heartbeat)
         if router_id == self.first_id:
             self.figures.cpu_seconds += time.process_time() - started_at
         for receiver in receivers:
             self._send(receiver, heartbeat, data)
-        table, receivers = membership.take_tables(self.now)
+        table, receivers = membership.next_full_table(self.now)
         for receiver in receivers:
             if table is not None:
                 self._send(receiver, table, encode_message(table))
@@ -154,7 +155,7 @@
         for other, membership in self.membership_by_id.items():
             if other in alive:
                 continue
-            if membership.own.data_centre == own.own.data_centre:
+            if membership.own_record.data_centre == own.own_record.data_centre:
                 self.figures.local_misses += 1
             else:
                 self.figures.remote_misses += 1
@@ -164,7 +165,7 @@
     """Return the record of a router that serves."""
     data_centre = f"dc-{index % data_centres + 1}"
     return MemberRecord(
-        life=RouterLife(
+        life=RouterInstance(
             f"router-{data_centre}-{index:03}", (1 << 52) + index * 7919
         ),
         data_centre=data_centre,
--- a/packages/standins/src/lacewingspar_standins/bench/synthetic_peers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/synthetic_peers.py
@@ -11,7 +11,7 @@
 import uvloop
 import zmq
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.membership import (
     HEARTBEAT_INTERVAL_SECONDS,
     Membership,
@@ -79,7 +79,9 @@
             for index, peer in enumerate(options.peers)
         }
         table = Heartbeat(
-            tuple(member.own for member in self._membership_by_id.values())
+            tuple(
+                member.own_record for member in self._membership_by_id.values()
+            )
         )
         for membership in self._membership_by_id.values():
             membership.merge(table, time.monotonic())
@@ -120,14 +122,14 @@
 
     def _beat(self, router_id: str, now: float) -> None:
         membership = self._membership_by_id[router_id]
-        membership.set_own(RouterState.SERVING, self._applied_offset)
-        heartbeat, receivers = membership.beat(now)
+        membership.update_own_record(RouterState.SERVING, self._applied_offset)
+        heartbeat, receivers = membership.next_heartbeat(now)
         for receiver in receivers:
-            self._send(membership.own, receiver, heartbeat)
-        table, receivers = membership.take_tables(now)
+            self._send(membership.own_record, receiver, heartbeat)
+        table, receivers = membership.next_full_table(now)
         for receiver in receivers:
             if table is not None:
-                self._send(membership.own, receiver, table)
+                self._send(membership.own_record, receiver, table)
 
     def _send(
         self, sender: MemberRecord, receiver: str, message: AnyPeerMessage
@@ -144,7 +146,7 @@
 
 def _record(peer: SyntheticPeer, index: int) -> MemberRecord:
     return MemberRecord(
-        life=RouterLife(peer.router_id, (1 << 52) + index * 7919),
+        life=RouterInstance(peer.router_id, (1 << 52) + index * 7919),
         data_centre=peer.data_centre,
         address=f"tcp://{peer.address}",
         state=RouterState.SERVING,
--- a/specs/claims_mistakes.py
+++ b/specs/claims_mistakes.py
@@ -5,7 +5,7 @@
 from specs.claims_model import Rules
 
 from lacewingspar_core.claims import (
-    SEND_LIMIT_SECONDS,
+    CLAIM_SEND_TIMEOUT_SECONDS,
     Claim,
     ClaimState,
     OwnClaim,
@@ -19,7 +19,7 @@
     def add(self, offset: int, claim: Claim) -> None:
         """Add a claim, and remove it at once if it has lost."""
         super().add(offset, claim)
-        entry = self.entry_at(offset)
+        entry = self.entry_by_offset(offset)
         if entry is not None and not entry.has_won:
             self.remove(entry)
 
@@ -31,8 +31,11 @@
 
 def may_send_lost(state: ClaimState, claim: OwnClaim, now: float) -> bool:
     """Ignore whether the claim has won."""
-    entry = state.entry_at(claim.offset)
-    return entry is not None and now < claim.appended_at + SEND_LIMIT_SECONDS
+    entry = state.entry_by_offset(claim.offset)
+    return (
+        entry is not None
+        and now < claim.appended_at + CLAIM_SEND_TIMEOUT_SECONDS
+    )
 
 
 def may_send_old_key(state: ClaimState, claim: OwnClaim, now: float) -> bool:
--- a/specs/claims_model.py
+++ b/specs/claims_model.py
@@ -24,17 +24,17 @@
 from minicheck import Protocol
 
 from lacewingspar_core.claims import (
-    SEND_LIMIT_SECONDS,
+    CLAIM_SEND_TIMEOUT_SECONDS,
     Claim,
     ClaimState,
     Outcome,
     OwnClaim,
     Release,
     apply_claim_record,
-    is_time_expired,
+    is_key_expired,
     may_send,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 
 KEY = b"k"
 
@@ -62,7 +62,7 @@
     @property
     def tick_seconds(self) -> float:
         """Return the length of a tick in seconds."""
-        return SEND_LIMIT_SECONDS / self.send_limit
+        return CLAIM_SEND_TIMEOUT_SECONDS / self.send_limit
 
     @property
     def tick_ms(self) -> int:
@@ -183,10 +183,10 @@
     def _is_in_time(self, state: State, router: Router) -> bool:
         """Return whether a won claim of the router could still be sent."""
         claims = ClaimState(self.sizes.tick_ms)
-        life = RouterLife("", 0)
-        apply_claim_record(claims, 0, 0, Claim(KEY, b"", life, 0))
+        instance = RouterInstance("", 0)
+        apply_claim_record(claims, 0, 0, Claim(KEY, b"", instance, 0))
         appended_at = router.appended_at * self.sizes.tick_seconds
-        own = OwnClaim(life, 0, appended_at, None)
+        own = OwnClaim(instance, 0, appended_at, None)
         now = state.clock * self.sizes.tick_seconds
         return self.rules.may_send(claims, own, now)
 
@@ -236,7 +236,7 @@
             is_old = record[:2] == ("claim", index)
             is_old = is_old and record[2] < router.incarnation
             claims = self._replay(state.log, router.start)
-            entry = claims.entry_at(offset)
+            entry = claims.entry_by_offset(offset)
             if is_old and entry and entry.has_won and not entry.outcome:
                 yield f"{index} resumes", self._send(state, index, record)
 
@@ -255,7 +255,7 @@
     def _may_claim(self, state: State) -> bool:
         if state.attempts == self.sizes.attempts:
             return False
-        return not is_time_expired(
+        return not is_key_expired(
             self._key_time(),
             state.clock * self.sizes.tick_ms,
             self.sizes.window * self.sizes.tick_ms,
@@ -277,7 +277,7 @@
     def _may_send(self, state: State, index: int, offset: int) -> bool:
         router = state.routers[index]
         own = OwnClaim(
-            RouterLife(str(index), router.incarnation),
+            RouterInstance(str(index), router.incarnation),
             offset,
             router.appended_at * self.sizes.tick_seconds,
             self._key_time(),
@@ -331,8 +331,8 @@
 def _decode(record: Record) -> Claim | Release | Outcome:
     match record:
         case ("claim", index, incarnation, sequence):
-            life = RouterLife(str(index), incarnation)
-            return Claim(KEY, b"", life, sequence)
+            instance = RouterInstance(str(index), incarnation)
+            return Claim(KEY, b"", instance, sequence)
         case ("release", offset):
             return Release(offset)
         case (_, offset):
--- a/specs/configlog_model.py
+++ b/specs/configlog_model.py
@@ -216,7 +216,7 @@
         records = replica.records_from(-1, 0)
         config = replica.state
         return Reader(
-            first=replica.wanted_offset - len(records),
+            first=replica.next_read_offset - len(records),
             records=tuple(record.data for record in records),
             state=encode_record(make_snapshot(config)) if config else None,
             first_retained=max(first_retained, reader.first_retained),
--- a/tests/core/engine_model.py
+++ b/tests/core/engine_model.py
@@ -21,12 +21,12 @@
     RunOutcome,
 )
 from lacewingspar_core.directory import UpstreamEntry, UpstreamState
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.pool_admission import PoolAdmission
 from lacewingspar_core.prefix_memory import PrefixCache, PromptPart
 from lacewingspar_core.routing import EngineProfile, UpstreamService
 
-INGRESS_ROUTER = RouterLife("router", 1)
+INGRESS_ROUTER = RouterInstance("router", 1)
 PROFILE = EngineProfile(
     slots=64,
     memory_tokens=500_000,
@@ -52,7 +52,7 @@
         state=UpstreamState.READY,
         born_ms=1,
         sequence=1,
-        cold_seconds=0.0,
+        warm_up_seconds=0.0,
     )
 
 
--- a/tests/core/test_claims.py
+++ b/tests/core/test_claims.py
@@ -8,14 +8,14 @@
 
 from lacewingspar_core import claims
 from lacewingspar_core.errors import RecordGapError
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 
-LIVES = [RouterLife("a", 1), RouterLife("b", 1)]
+LIVES = [RouterInstance("a", 1), RouterInstance("b", 1)]
 WINDOW_MS = 1000
 
 
-def claim(key: bytes = b"k", life: int = 0) -> claims.Claim:
-    return claims.Claim(key, b"digest", LIVES[life], 1)
+def claim(key: bytes = b"k", instance: int = 0) -> claims.Claim:
+    return claims.Claim(key, b"digest", LIVES[instance], 1)
 
 
 def outcome(offset: int, body: bytes | None = b"ok") -> claims.Outcome:
@@ -61,8 +61,8 @@
     before: list[tuple[int, Any]], time_ms: int, has_won: bool
 ) -> None:
     """Guards against two winners and against a key that is never released."""
-    state = state_after(*before, (time_ms, claim(life=1)))
-    entry = state.entry_at(len(before))
+    state = state_after(*before, (time_ms, claim(instance=1)))
+    entry = state.entry_by_offset(len(before))
     assert entry is not None
     assert entry.has_won is has_won
 
@@ -74,7 +74,9 @@
         claims.apply_claim_record(state, 2, 0, None)
     state.skip_to(2)
     assert (
-        claims.apply_claim_record(state, 2, 0, claims.Release(0)).entry_at(0)
+        claims.apply_claim_record(
+            state, 2, 0, claims.Release(0)
+        ).entry_by_offset(0)
         is None
     )
 
@@ -87,16 +89,16 @@
         ({"now": 110.0}, False),
         ({"offset": 1}, False),
         ({"offset": 2}, False),
-        ({"life": LIVES[1]}, False),
+        ({"instance": LIVES[1]}, False),
         ({"key_time_ms": -WINDOW_MS + 1}, True),
         ({"key_time_ms": -WINDOW_MS}, False),
     ],
 )
 def test_may_send(change: dict[str, Any], expected: bool) -> None:
     """Guards against sending with a lost, late, foreign or expired claim."""
-    state = state_after((0, claim()), (0, claim(life=0)))
+    state = state_after((0, claim()), (0, claim(instance=0)))
     values = {
-        "life": LIVES[0],
+        "instance": LIVES[0],
         "offset": 0,
         "appended_at": 100.0,
         "key_time_ms": None,
@@ -109,7 +111,7 @@
 
 def test_first_outcome_is_kept() -> None:
     state = state_after((0, claim()), (0, outcome(0)), (0, outcome(0, b"no")))
-    entry = state.entry_of(b"k")
+    entry = state.entry_by_key(b"k")
     assert entry is not None
     assert entry.outcome == outcome(0)
 
@@ -127,7 +129,7 @@
         )
     kept = []
     for number in range(4):
-        entry = state.entry_of(bytes([number]))
+        entry = state.entry_by_key(bytes([number]))
         assert entry is not None
         assert entry.outcome is not None
         kept.append(entry.outcome.body is not None)
@@ -189,7 +191,7 @@
         claims.apply_claim_record(late, offset, time_ms, record)
         if started_ms is None or time_ms < started_ms + WINDOW_MS:
             continue
-        assert full.entry_at(offset) == late.entry_at(offset)
+        assert full.entry_by_offset(offset) == late.entry_by_offset(offset)
 
 
 @settings(derandomize=True)
--- a/tests/core/test_configreplica.py
+++ b/tests/core/test_configreplica.py
@@ -43,7 +43,7 @@
     replica = ConfigReplica()
     replica.add(first_retained, log[first:])
     assert replica.state == (state if has_state else None)
-    assert replica.wanted_offset == len(log)
+    assert replica.next_read_offset == len(log)
 
 
 @pytest.mark.parametrize("known", [0, 1])
@@ -53,7 +53,7 @@
     replica = ConfigReplica()
     replica.add(0, log[:known])
     replica.add(4, log[4:])
-    assert replica.is_stalled
+    assert replica.has_gap
     replica.add(0, log[known:])
     assert replica.state == state
 
@@ -64,7 +64,7 @@
     replica = ConfigReplica()
     replica.add(0, log[:1])
     assert not replica.add(0, log[4:])
-    assert replica.wanted_offset == 1
+    assert replica.next_read_offset == 1
     replica.add(0, log[1:])
     assert replica.state == state
 
--- a/tests/core/test_demand.py
+++ b/tests/core/test_demand.py
@@ -5,10 +5,10 @@
 import pytest
 
 from lacewingspar_core.demand import DemandKey, DemandTable
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import Demand, DemandEntry
 
-INGRESS_ROUTERS = [RouterLife(name, 1) for name in "abc"]
+INGRESS_ROUTERS = [RouterInstance(name, 1) for name in "abc"]
 KEYS = [DemandKey(workspace, model) for workspace in "vw" for model in "mn"]
 
 
@@ -16,8 +16,8 @@
     """Reference implementation that recomputes the totals on every read."""
 
     def __init__(self) -> None:
-        self.waiting: dict[tuple[DemandKey, RouterLife], int] = {}
-        self.offered: dict[tuple[DemandKey, RouterLife], int] = {}
+        self.waiting: dict[tuple[DemandKey, RouterInstance], int] = {}
+        self.offered: dict[tuple[DemandKey, RouterInstance], int] = {}
 
     def unoffered(self, key: DemandKey) -> int:
         return sum(
@@ -80,7 +80,7 @@
     table: DemandTable,
     reference: ReferenceTable,
     generator: random.Random,
-    ingress_router: RouterLife,
+    ingress_router: RouterInstance,
     sequence: int,
 ) -> None:
     is_full = generator.random() < 0.5
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lacewingspar_core.directory import (
-    LAPSE_GRACE_SECONDS,
+    EXPIRY_GRACE_SECONDS,
     ChangeKind,
     DirectoryChange,
     UpstreamDirectory,
@@ -22,7 +22,7 @@
     state=UpstreamState.READY,
     born_ms=1000,
     sequence=5,
-    cold_seconds=0.0,
+    warm_up_seconds=0.0,
 )
 DRAINING = replace(ENTRY, state=UpstreamState.DRAINING, sequence=6)
 
@@ -55,9 +55,9 @@
 def test_draining_upstream_gets_no_work_and_stays_removed() -> None:
     directory = UpstreamDirectory()
     directory.apply(DRAINING)
-    assert directory.usable("s") == {}
+    assert directory.ready_upstreams("s") == {}
     assert directory.entry_by_id == {"u1": DRAINING}
-    directory.remove("u1", 10.0, may_have_lapsed=False)
+    directory.remove("u1", 10.0, may_have_expired=False)
     assert directory.apply(replace(ENTRY, sequence=5)) is None
     assert directory.entry_by_id == {}
 
@@ -66,29 +66,29 @@
     """Guards against an empty pool after an outage of the registry."""
     directory = UpstreamDirectory()
     directory.apply(ENTRY)
-    change = directory.remove("u1", 10.0, may_have_lapsed=True)
-    assert kind_of(change) is ChangeKind.LAPSED
-    assert set(directory.usable("s")) == {"u1"}
-    assert directory.expire(10.0 + LAPSE_GRACE_SECONDS / 2) == []
-    (removed,) = directory.expire(10.0 + LAPSE_GRACE_SECONDS)
+    change = directory.remove("u1", 10.0, may_have_expired=True)
+    assert kind_of(change) is ChangeKind.EXPIRED
+    assert set(directory.ready_upstreams("s")) == {"u1"}
+    assert directory.expire(10.0 + EXPIRY_GRACE_SECONDS / 2) == []
+    (removed,) = directory.expire(10.0 + EXPIRY_GRACE_SECONDS)
     assert removed.kind is ChangeKind.REMOVED
-    assert directory.usable("s") == {}
+    assert directory.ready_upstreams("s") == {}
 
 
 def test_expired_upstream_that_reports_again_is_kept() -> None:
     directory = UpstreamDirectory()
     directory.apply(ENTRY)
-    directory.remove("u1", 10.0, may_have_lapsed=True)
+    directory.remove("u1", 10.0, may_have_expired=True)
     directory.apply(replace(ENTRY, sequence=7))
     assert directory.expire(20.0) == []
-    assert set(directory.usable("s")) == {"u1"}
+    assert set(directory.ready_upstreams("s")) == {"u1"}
 
 
 def test_draining_upstream_is_removed_at_once() -> None:
     """Guards against new work for an upstream that has shut down."""
     directory = UpstreamDirectory()
     directory.apply(DRAINING)
-    change = directory.remove("u1", 10.0, may_have_lapsed=True)
+    change = directory.remove("u1", 10.0, may_have_expired=True)
     assert kind_of(change) is ChangeKind.REMOVED
 
 
@@ -96,7 +96,9 @@
     directory = UpstreamDirectory()
     directory.apply(ENTRY)
     other = replace(ENTRY, upstream_id="u2")
-    changes = directory.replace_all({"u2": other}, 1.0, may_have_lapsed=False)
+    changes = directory.apply_listing(
+        {"u2": other}, 1.0, may_have_expired=False
+    )
     assert [(item.kind, item.entry.upstream_id) for item in changes] == [
         (ChangeKind.ADDED, "u2"),
         (ChangeKind.REMOVED, "u1"),
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -19,7 +19,7 @@
     TimePassed,
     UpstreamsChanged,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import (
     ActiveSlot,
     CounterEntry,
@@ -36,9 +36,9 @@
 )
 from lacewingspar_core.slots import OwnedUpstream
 
-OWNER = RouterLife("owner", 1)
-INGRESS = RouterLife("ingress", 1)
-REMOTE = RouterLife("remote-owner", 1)
+OWNER = RouterInstance("owner", 1)
+INGRESS = RouterInstance("ingress", 1)
+REMOTE = RouterInstance("remote-owner", 1)
 
 
 def make_owner(
@@ -69,7 +69,10 @@
 
 
 def receive(
-    owner: SlotOwner, message: object, now: float, sender: RouterLife = INGRESS
+    owner: SlotOwner,
+    message: object,
+    now: float,
+    sender: RouterInstance = INGRESS,
 ) -> list[OwnerAction]:
     return owner.handle(MessageReceived(sender, message), now)  # type: ignore[arg-type]
 
@@ -200,7 +203,7 @@
             owner.handle(TimePassed(), OFFER_TIMEOUT_SECONDS)
         case _:
             owner.handle(RouterGone(INGRESS), 0.1)
-    other = RouterLife("other", 1)
+    other = RouterInstance("other", 1)
     made = offers(receive(owner, demand(1, {"w2": 1}), 1.0, sender=other))
     assert [made_offer.workspace for made_offer in made] == ["w2"]
     assert owner.ledger.score("w1", 1.0) == 0.0
@@ -244,7 +247,7 @@
     )
     owner.handle(event, 0.0)
     assert not offers(receive(owner, demand(1, {"w1": 1}), 0.1))
-    former = SlotId(RouterLife("former", 1), 7)
+    former = SlotId(RouterInstance("former", 1), 7)
     report = SlotReport("chat", (ActiveSlot(former, "u1", "w1", 1.0, 2.0),))
     assert not offers(receive(owner, report, 0.2))
     released = SlotReleased(
--- a/tests/core/test_hand_over.py
+++ b/tests/core/test_hand_over.py
@@ -11,7 +11,7 @@
     NeighbourLoads,
     helpful_neighbours,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import MemberRecord, RouterState
 
 LATE = 2 * HIGH_DELAY_SECONDS
@@ -26,7 +26,7 @@
     caller_address: str = "10.0.0.1:80",
 ) -> MemberRecord:
     return MemberRecord(
-        RouterLife(router_id, 1),
+        RouterInstance(router_id, 1),
         data_centre,
         "tcp://10.0.0.1:1",
         state,
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.ledger import (
     ACTIVE_OWNER_SECONDS,
     COUNTERS_RETENTION_SECONDS,
@@ -14,9 +14,9 @@
 )
 from lacewingspar_core.messages import CounterEntry, Counters
 
-OWN = RouterLife("router-a", 1)
-PEER = RouterLife("router-b", 1)
-THIRD = RouterLife("router-c", 1)
+OWN = RouterInstance("router-a", 1)
+PEER = RouterInstance("router-b", 1)
+THIRD = RouterInstance("router-c", 1)
 
 
 def make_ledger() -> ServiceLedger:
@@ -26,11 +26,11 @@
 def counters(
     sequence: int,
     *entries: tuple[str, float, float, int],
-    life: RouterLife = PEER,
+    instance: RouterInstance = PEER,
     slots: int = 4,
 ) -> Counters:
     return Counters(
-        life=life,
+        instance=instance,
         service="chat",
         data_centre="south",
         sequence=sequence,
@@ -159,7 +159,7 @@
     names = [f"w{number}" for number in range(16)]
     firsts = set()
     for number in range(8):
-        ledger = ServiceLedger("chat", RouterLife(f"r{number}", 1), "north")
+        ledger = ServiceLedger("chat", RouterInstance(f"r{number}", 1), "north")
         firsts.add(min(names, key=ledger.tie_break_rank))
     assert len(firsts) > 4
 
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -26,18 +26,18 @@
 @pytest.mark.parametrize("routers", [1, 8, MAX_FULL_TABLE_ROUTERS])
 def test_small_fleet_exchanges_full_tables(routers: int) -> None:
     """Guards against slow failure detection in small fleets."""
-    heartbeat, _ = _membership(routers).beat(0.1)
-    assert (len(heartbeat.members), heartbeat.beats) == (routers, ())
+    heartbeat, _ = _membership(routers).next_heartbeat(0.1)
+    assert (len(heartbeat.members), heartbeat.member_updates) == (routers, ())
 
 
 @pytest.mark.parametrize("routers", [40, 390, 1000])
 @pytest.mark.parametrize("now", [0.1, 8.0])
 def test_heartbeat_is_bounded(routers: int, now: float) -> None:
     """Guards against traffic that grows with the square of the fleet."""
-    heartbeat, receivers = _membership(routers).beat(now)
+    heartbeat, receivers = _membership(routers).next_heartbeat(now)
     assert len(heartbeat.members) <= 2 + NEW_RECORDS_PER_HEARTBEAT
     assert (
-        len(heartbeat.beats)
+        len(heartbeat.member_updates)
         <= LOCAL_UPDATES_PER_HEARTBEAT + REMOTE_UPDATES_PER_HEARTBEAT * 3 // 2
     )
     assert len(receivers) <= 3
@@ -77,7 +77,7 @@
     records = [member_record(index, 5) for index in range(2, 40)]
     records[5] = after
     sender.merge(Heartbeat(tuple(records)), 0.0)
-    message, _ = sender.beat(6.0)
+    message, _ = sender.next_heartbeat(6.0)
     updates_only = msgspec.structs.replace(message, members=message.members[:1])
     receiver.merge(updates_only, 6.0)
     known = receiver.alive(6.0)[before.life.router_id]
@@ -88,11 +88,11 @@
     """Guards against a restarted router that learns the fleet too slowly."""
     known = _membership(390)
     restarted = Membership(member_record(7, 5), (), random.Random(1))
-    known.merge(restarted.beat(1.0)[0], 1.0)
-    table, receivers = known.take_tables(1.0)
-    assert receivers == [restarted.own.life.router_id]
+    known.merge(restarted.next_heartbeat(1.0)[0], 1.0)
+    table, receivers = known.next_full_table(1.0)
+    assert receivers == [restarted.own_record.life.router_id]
     assert table is not None
     restarted.merge(table, 1.1)
     assert len(restarted.alive(1.1)) == 390
-    known.merge(restarted.beat(2.0)[0], 2.0)
-    assert known.take_tables(2.0) == (None, [])
+    known.merge(restarted.next_heartbeat(2.0)[0], 2.0)
+    assert known.next_full_table(2.0) == (None, [])
--- a/tests/core/test_pool_admission.py
+++ b/tests/core/test_pool_admission.py
@@ -21,7 +21,7 @@
     Queued,
     RunOutcome,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.pool_admission import PoolAdmission
 from lacewingspar_core.prefix_memory import PromptPart
 from lacewingspar_core.routing import UpstreamService
@@ -198,7 +198,7 @@
     assert (pool.running, pool.waiting) == (0, 0)
     other = replace(admission(3, 0.1), key=admission(3, 0.1).key)
     assert upstream_of(pool.ask(other, 0.1)) == "a"
-    pool.forget_holder(RouterLife("another", 1), 0.2)
+    pool.forget_holder(RouterInstance("another", 1), 0.2)
     assert pool.running == 1
 
 
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -15,9 +15,9 @@
     """Return a state after crashes at 0 s, 1 s and so on."""
     state = QuarantineState("s")
     for number, suspects in enumerate(crashes):
-        state.on_crash(f"u{number}", 0, suspects, float(number))
+        state.record_crash(f"u{number}", 0, suspects, float(number))
         if number == cleared_after:
-            state.on_success("x", float(number))
+            state.record_success("x", float(number))
     return state
 
 
@@ -80,11 +80,11 @@
     """Guards against counting one crash twice if two routers observe it."""
     states = [QuarantineState("s"), QuarantineState("s")]
     for state, suspects in zip(states, "xa", strict=True):
-        state.on_crash("u", 0, suspects, 0.0)
+        state.record_crash("u", 0, suspects, 0.0)
     _exchange(states, 0.1)
     first, second = (state.publish(0.1, full=True) for state in states)
     assert first == second
-    states[0].on_crash("u", states[0].epoch("u"), "xa", 1.0)
+    states[0].record_crash("u", states[0].epoch("u"), "xa", 1.0)
     assert not states[0].is_refused("x", 1.0)
 
 
@@ -109,9 +109,9 @@
         if states[router].is_refused("x", now):
             continue
         upstream, epoch = f"u{number}", states[router].epoch(f"u{number}")
-        states[router].on_crash(upstream, epoch, "x", now)
+        states[router].record_crash(upstream, epoch, "x", now)
         for state, name in zip(states, sorted(others), strict=False):
-            state.on_crash(upstream, epoch, name, now)
+            state.record_crash(upstream, epoch, name, now)
         _exchange(states, now)
         crashes += 1
     assert crashes <= 3
@@ -148,7 +148,7 @@
     state = QuarantineState("s")
     for number in range(quarantine.MAXIMUM_CRASHES + 10):
         suspects = {f"{number}-{n}" for n in range(300)}
-        state.on_crash(f"u{number}", 0, suspects, float(number) / 10)
+        state.record_crash(f"u{number}", 0, suspects, float(number) / 10)
     message = state.publish(20.0, full=True)
     sizes = [len(crash.suspects) for crash in message.crashes]
     assert sizes == [quarantine.MAXIMUM_SUSPECTS] * quarantine.MAXIMUM_CRASHES
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -3,12 +3,12 @@
 import pytest
 
 from lacewingspar_core import suspects
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import SuspectRun
 from lacewingspar_core.suspects import SuspectTable
 
-LIVES = [RouterLife("r1", 1), RouterLife("r2", 1)]
-SETTLE = suspects.SETTLE_SECONDS
+LIVES = [RouterInstance("r1", 1), RouterInstance("r2", 1)]
+SETTLE = suspects.RESERVATION_DELAY_SECONDS
 RUN = SuspectRun("u", "x")
 
 
@@ -31,17 +31,20 @@
 
 def test_reservations_expire_without_announcements() -> None:
     """Guards against a reservation that never expires."""
-    first, second = (SuspectTable("s", life) for life in LIVES)
+    first, second = (SuspectTable("s", instance) for instance in LIVES)
     second.reserve(RUN, 0.0)
     message = second.publish()
     first.merge(LIVES[1], message, 0.0)
-    assert first.busy_upstreams(2.9) == {"u"}
-    assert first.is_running("x", 2.9)
-    assert first.busy_upstreams(suspects.EXPIRY_SECONDS) == frozenset()
+    assert first.reserved_upstreams(2.9) == {"u"}
+    assert first.is_reserved("x", 2.9)
+    assert (
+        first.reserved_upstreams(suspects.RESERVATION_EXPIRY_SECONDS)
+        == frozenset()
+    )
     second.release(RUN)
     first.merge(LIVES[1], second.publish(), 1.0)
     first.merge(LIVES[1], message, 1.0)
-    assert first.busy_upstreams(1.0) == frozenset()
+    assert first.reserved_upstreams(1.0) == frozenset()
 
 
 @pytest.mark.parametrize("first", [0, 1])
@@ -51,7 +54,7 @@
     first: int, delay: float, step: int
 ) -> None:
     """Guards against conflicting reservations that are not yet announced."""
-    tables = [SuspectTable("s", life) for life in LIVES]
+    tables = [SuspectTable("s", instance) for instance in LIVES]
     earlier, later = tables[first], tables[1 - first]
     later_at = step * SETTLE / 8
     assert earlier.reserve(RUN, 0.0)
--- a/tests/router/components/conftest.py
+++ b/tests/router/components/conftest.py
@@ -103,7 +103,7 @@
         self.listeners: list[Callable[[], None]] = []
         self.sent: list[tuple[str, Any]] = []
         self.offset_by_router_id: dict[str, int] = {}
-        network[app.life.router_id] = self
+        network[app.instance.router_id] = self
 
     def set_applied_offset_source(self, read: Callable[[], int]) -> None:
         del read
@@ -112,7 +112,7 @@
     def alive_by_router_id(self) -> dict[str, MemberRecord]:
         return {
             router_id: MemberRecord(
-                peers.app.life,
+                peers.app.instance,
                 peers.app.settings.data_centre,
                 "tcp://127.0.0.1:1",
                 RouterState.SERVING,
@@ -127,7 +127,7 @@
         handler = self.network[router_id].handler_by_type.get(type(message))
         if handler:
             received = ReceivedMessage(
-                self.app.life, self.app.settings.data_centre, message
+                self.app.instance, self.app.settings.data_centre, message
             )
             asyncio.get_running_loop().call_soon(handler, received)
 
--- a/tests/router/components/test_claims.py
+++ b/tests/router/components/test_claims.py
@@ -15,7 +15,7 @@
     decode_record,
     encode_record,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.platform import STREAM_CLAIMS
 from lacewingspar_router.components.claims import async_setup, models, registry
 
@@ -78,7 +78,7 @@
     assert await claim(second) == models.ClaimInProgress()
     assert await claim(second, digest=b"other") == models.ClaimKeyReused()
     first.record_outcome(granted, ANSWER)
-    await until(lambda: second._state.entry_at(0).outcome)
+    await until(lambda: second._state.entry_by_offset(0).outcome)
     assert await claim(first) == ANSWER
     assert await claim(second) == ANSWER
 
@@ -88,7 +88,7 @@
     granted = await claim(claims)
     large = models.ClaimAnswered(200, "text/plain", b"x" * 9000)
     claims.record_outcome(granted, large)
-    await until(lambda: claims._state.entry_at(0).outcome)
+    await until(lambda: claims._state.entry_by_offset(0).outcome)
     assert await claim(claims) == models.ClaimAnswered(200, "text/plain", None)
 
 
@@ -114,14 +114,14 @@
 
 async def test_claim_of_a_gone_router_is_unknown(start, fake_log) -> None:
     """Guards against a second run after a crash, also of the same router."""
-    lives = [RouterLife("gone", 1), RouterLife("r1", 1)]
-    for life in lives:
-        key = claim_key("s", "w", life.router_id)
-        record = encode_record(Claim(key, b"d", life, 1))
+    lives = [RouterInstance("gone", 1), RouterInstance("r1", 1)]
+    for instance in lives:
+        key = claim_key("s", "w", instance.router_id)
+        record = encode_record(Claim(key, b"d", instance, 1))
         fake_log.append(STREAM_CLAIMS, record)
     claims = await start("r1")
-    for life in lives:
-        assert await claim(claims, life.router_id) == models.ClaimUnknown()
+    for instance in lives:
+        assert await claim(claims, instance.router_id) == models.ClaimUnknown()
 
 
 @pytest.mark.parametrize(
@@ -161,7 +161,7 @@
     claims = await start()
     granted = await claim(claims, "known")
     claims.record_outcome(granted, ANSWER)
-    await until(lambda: claims._state.entry_at(0).outcome)
+    await until(lambda: claims._state.entry_by_offset(0).outcome)
     fake_log.append_fault = 503
     assert await claim(claims) == models.ClaimUnavailable()
     fake_log.is_down = True
@@ -188,7 +188,7 @@
     granted = await claim(claims)
     fake_log.append_fault = httpx.ReadTimeout("lost")
     claims.record_outcome(granted, ANSWER)
-    await until(lambda: claims._state.entry_at(0).outcome)
+    await until(lambda: claims._state.entry_by_offset(0).outcome)
 
 
 @pytest.mark.parametrize(("age_windows", "is_expired"), [(1, True), (0, False)])
--- a/tests/router/components/test_configuration.py
+++ b/tests/router/components/test_configuration.py
@@ -7,7 +7,7 @@
 import httpx
 import pytest
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import LogRecords, MemberRecord, RouterState
 from lacewingspar_router.components.configuration import async_setup, store
 from lacewingspar_router.components.configuration.errors import (
@@ -83,7 +83,7 @@
         configuration = await started(app)
         await until(lambda c=configuration: c.is_ready)
     results = await asyncio.gather(
-        *(publish(app, app.life.router_id, 0, document()) for app in apps)
+        *(publish(app, app.instance.router_id, 0, document()) for app in apps)
     )
     assert sorted(type(r).__name__ for r in results) == [
         "PublishAccepted",
@@ -155,7 +155,7 @@
     await publish(first, "e1", 0, document())
     await publish(first, "e2", 1, document(5))
     peers: Any = first.get(PEERS)
-    peers.offset_by_router_id = {"r1": 2, second.life.router_id: 1}
+    peers.offset_by_router_id = {"r1": 2, second.instance.router_id: 1}
 
     def passed_on() -> list[Any]:
         return [m for _, m in peers.sent if isinstance(m, LogRecords)]
@@ -211,7 +211,12 @@
 
 def _member(name: str, data_centre: str, offset: int) -> MemberRecord:
     return MemberRecord(
-        RouterLife(name, 1), data_centre, "a", RouterState.SERVING, 1, offset
+        RouterInstance(name, 1),
+        data_centre,
+        "a",
+        RouterState.SERVING,
+        1,
+        offset,
     )
 
 
--- a/tests/router/components/test_holder.py
+++ b/tests/router/components/test_holder.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lacewingspar_core.documents import ServiceDocument, validate_document
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import (
     AnyPeerMessage,
     Demand,
@@ -25,8 +25,8 @@
 )
 from lacewingspar_router.settings import Settings
 
-OWNER = RouterLife("owner", 1)
-FORMER = RouterLife("former", 1)
+OWNER = RouterInstance("owner", 1)
+FORMER = RouterInstance("former", 1)
 
 
 class Clock(Application):
@@ -102,7 +102,7 @@
     ).unwrap()
 
 
-def offer(number: int, owner: RouterLife = OWNER) -> Offer:
+def offer(number: int, owner: RouterInstance = OWNER) -> Offer:
     return Offer("plain", SlotId(owner, number), "u1", "w1", "", False)
 
 
--- a/tests/router/components/test_peers.py
+++ b/tests/router/components/test_peers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.membership import Membership, Seed
 from lacewingspar_core.messages import Heartbeat, MemberRecord, RouterState
 from lacewingspar_router.application import LifeCycle
@@ -18,14 +18,14 @@
 
 
 def _record(name: str, address: str) -> MemberRecord:
-    life = RouterLife(name, 1)
-    return MemberRecord(life, "d", address, RouterState.SERVING, 1, 0)
+    instance = RouterInstance(name, 1)
+    return MemberRecord(instance, "d", address, RouterState.SERVING, 1, 0)
 
 
 @pytest.fixture
 async def app() -> Any:
     app: Any = mock.MagicMock(
-        life=RouterLife("a", 1), life_cycle=LifeCycle.SERVING
+        instance=RouterInstance("a", 1), life_cycle=LifeCycle.SERVING
     )
     app.settings.data_centre = "d"
     app.settings.address_map = {}
--- a/tests/router/components/test_scheduler.py
+++ b/tests/router/components/test_scheduler.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import MemberRecord, RouterState
 from lacewingspar_router.components.scheduler.scheduler import FleetScheduler
 from lacewingspar_standins.bench.capacity_core import service_document
@@ -15,8 +15,8 @@
 
 
 def _member(router_id: str, state: RouterState) -> MemberRecord:
-    life = RouterLife(router_id, 1)
-    return MemberRecord(life, "dc-1", "tcp://192.0.2.1:1", state, 1, 0)
+    instance = RouterInstance(router_id, 1)
+    return MemberRecord(instance, "dc-1", "tcp://192.0.2.1:1", state, 1, 0)
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
 ) -> None:
     """Guards against each upstream answering polls of all routers."""
     document = service_document(workspaces=1, upstreams=16)
-    app: Any = mock.MagicMock(life=RouterLife("a", 1))
+    app: Any = mock.MagicMock(instance=RouterInstance("a", 1))
     app.settings.data_centre = "dc-1"
     app.now.return_value = 0.0
     members = {name: _member(name, state) for name, state in states.items()}
--- a/tests/router/conftest.py
+++ b/tests/router/conftest.py
@@ -10,7 +10,7 @@
 import httpx
 
 from lacewingspar_core.documents import ServiceDocument, validate_document
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import SlotId, SlotOutcome
 from lacewingspar_router.application import Application, LifeCycle
 from lacewingspar_router.components import quarantine, telemetry, upstreams
@@ -134,7 +134,7 @@
         unusable = request.excluded_upstreams | self.full_upstreams
         for upstream in pool.upstreams:
             if upstream.id not in unusable:
-                slot = SlotId(RouterLife("router-0", 1), len(self.requests))
+                slot = SlotId(RouterInstance("router-0", 1), len(self.requests))
                 return SlotGrant(
                     slot,
                     request.service,
--- a/tests/router/deployed/test_hand_over.py
+++ b/tests/router/deployed/test_hand_over.py
@@ -38,7 +38,7 @@
     peers = first.get(PEERS)
 
     def is_known() -> bool:
-        record = peers.alive_by_router_id.get(second.life.router_id)
+        record = peers.alive_by_router_id.get(second.instance.router_id)
         return record is not None and record.state is RouterState.SERVING
 
     await until(is_known)
--- a/tests/router/deployed/test_pools.py
+++ b/tests/router/deployed/test_pools.py
@@ -4,7 +4,7 @@
 from typing import Any
 from unittest import mock
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import MemberRecord, RouterState
 from lacewingspar_router.components.admission import const
 from lacewingspar_router.components.admission.pools import (
@@ -30,7 +30,7 @@
         self.listeners: list[Callable[[], None]] = []
         self.alive = {
             name: MemberRecord(
-                RouterLife(name, 1),
+                RouterInstance(name, 1),
                 "dc",
                 "tcp://192.0.2.1:1",
                 RouterState.SERVING,
@@ -47,7 +47,7 @@
         parts: dict[Any, Any] = {PEERS: peers, ROUTING: routing}
         app = mock.Mock(get=parts.__getitem__)
         app.now = lambda: self.now
-        app.life.router_id = "r0"
+        app.instance.router_id = "r0"
         self.selector = OwnerSelector(app, PoolSelector(routing))
 
     def remove_router(self, router_id: str) -> None:
--- a/tests/router/deployed/test_reader_role.py
+++ b/tests/router/deployed/test_reader_role.py
@@ -37,11 +37,11 @@
 
 
 def readers(apps: list[Application]) -> list[Application]:
-    ids = [app.life.router_id for app in apps]
+    ids = [app.instance.router_id for app in apps]
     return [
         app
         for app in apps
-        if rank_of(app.life.router_id, "readers/dc-a", ids)
+        if rank_of(app.instance.router_id, "readers/dc-a", ids)
         < const.READERS_PER_DATA_CENTRE
     ]
 
@@ -87,7 +87,7 @@
     fleet.register("p1", "plain", "draining")
     await until(
         lambda: all(
-            "p1" not in routing_state_of(app).directory.usable("plain")
+            "p1" not in routing_state_of(app).directory.ready_upstreams("plain")
             for app in fleet.apps
         ),
         1.5,
@@ -159,7 +159,7 @@
             records,
             self.reader.directory_offset,
             "router r1",
-            may_have_lapsed=self.reader.may_have_lapsed,
+            may_have_expired=self.reader.may_have_expired,
         )
         return len(records)
 
@@ -185,10 +185,10 @@
     record = KeyedRecord("u1", b"", 2)
     pair.reader.apply_upstream_records([record], 3, "log")
     assert pair.copy_changes() == 1
-    assert "u1" in pair.follower.directory.usable("plain")
+    assert "u1" in pair.follower.directory.ready_upstreams("plain")
     pair.now += 3.0
     pair.follower.expire()
-    assert "u1" not in pair.follower.directory.usable("plain")
+    assert "u1" not in pair.follower.directory.ready_upstreams("plain")
 
 
 async def test_followers_remove_upstreams_missing_from_a_listing(
--- a/tests/router/deployed/test_registration.py
+++ b/tests/router/deployed/test_registration.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_router.components.routing.registration import Registration
 
 
@@ -17,7 +17,7 @@
 )
 def test_seeds_are_contacted_on_the_peer_port(host: str, address: str) -> None:
     """Guards against a router without peers while the log is unavailable."""
-    app = mock.Mock(life=RouterLife("r1", 1))
+    app = mock.Mock(instance=RouterInstance("r1", 1))
     app.settings.peer_address = "10.0.0.1:7400"
     Registration(app, mock.Mock()).contact_seeds([host])
     ((seeds,), _) = app.get.return_value.add_seeds.call_args
--- a/tests/router/deployed/test_routing_state.py
+++ b/tests/router/deployed/test_routing_state.py
@@ -56,7 +56,7 @@
     @property
     def is_usable(self) -> bool:
         self.state.expire()
-        return "u1" in self.state.directory.usable("plain")
+        return "u1" in self.state.directory.ready_upstreams("plain")
 
 
 @pytest.mark.parametrize(
--- a/tests/router/deployed/test_shared_state.py
+++ b/tests/router/deployed/test_shared_state.py
@@ -68,7 +68,7 @@
     caller = await served.add_router()
     served.register("p1", "plain", "draining")
     directory = served.apps[0].get(ROUTING).directory
-    await until(lambda: "p1" not in directory.usable("plain"), 1.5)
+    await until(lambda: "p1" not in directory.ready_upstreams("plain"), 1.5)
     before = served.upstream_by_id["p1"].runs.total()
     for _ in range(5):
         assert (await caller.call("/write/")).status == 200
--- a/tests/router/test_admin_api.py
+++ b/tests/router/test_admin_api.py
@@ -42,7 +42,7 @@
     async with routed(ports=(9,)) as router:
         application = router.application
         record = MemberRecord(
-            application.life, "dc-a", "tcp://x:1", RouterState.SERVING, 1, 2
+            application.instance, "dc-a", "tcp://x:1", RouterState.SERVING, 1, 2
         )
         application.register(PEERS, FakePeers({"router-0": record}))  # type: ignore[arg-type]
         application.register(CALLER_API, router.proxy)
--- a/tests/router/test_retries.py
+++ b/tests/router/test_retries.py
@@ -8,7 +8,7 @@
 import pytest
 from tests.router.conftest import AUTHORIZED, answering, events, routed
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import CrashRecord, Quarantine, SlotOutcome
 from lacewingspar_core.quarantine import fingerprint
 from lacewingspar_router.components.peers.models import ReceivedMessage
@@ -129,7 +129,7 @@
         )
         registry._exchange._receive(
             ReceivedMessage(
-                RouterLife("r2", 1), "dc-a", Quarantine("chat", crashes)
+                RouterInstance("r2", 1), "dc-a", Quarantine("chat", crashes)
             )
         )
         answer = await request
--- a/tests/standins/test_fault_checks.py
+++ b/tests/standins/test_fault_checks.py
@@ -58,8 +58,8 @@
 def test_version_that_goes_back_is_a_breach() -> None:
     """Guards against reverted versions that hide behind a restart."""
     watch = VersionWatch()
-    for life, version in ((1, 5), (1, 4), (2, 4), (2, 5)):
-        watch.note("r", cast(Any, life), {"chat": version})
+    for instance, version in ((1, 5), (1, 4), (2, 4), (2, 5)):
+        watch.note("r", cast(Any, instance), {"chat": version})
     assert [text.rsplit(", ", 1)[1] for text in watch.reverted] == [
         "same life",
         "after restart",
