--- a/packages/core/src/lacewingspar_core/admission_events.py
+++ b/packages/core/src/lacewingspar_core/admission_events.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 
 from lacewingspar_core.identity import RouterInstance
-from lacewingspar_core.prefix_memory import PromptPart
+from lacewingspar_core.prefix_cache import PromptPart
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,11 +13,11 @@
     """Identity of one admission request.
 
     Attributes:
-        holder: Ingress router, which has the caller's connection.
+        ingress_router: Router that has the caller's connection.
         number: Number that the ingress router instance uses only once.
     """
 
-    holder: RouterInstance
+    ingress_router: RouterInstance
     number: int
 
 
@@ -36,14 +36,14 @@
         output_tokens: Expected tokens of the response.
         priority: Priority of the route; 0 is the most urgent.
         arrived_at: Arrival at the ingress router, in seconds.
-        aim_at: Latency target: time by which the first chunk of the response
-            should arrive.
+        latency_target_at: Time by which the first chunk of the response should
+            arrive.
         deadline_at: Time by which the whole response must arrive.
         identity: Hash that stays the same when the caller retries the request,
             or 0 if there is none.
         excluded: Upstreams that must not be used.
-        patience_seconds: Time from the arrival after which the caller
-            disconnects if no chunk has arrived.
+        first_chunk_timeout_seconds: Time from the arrival after which the
+            caller disconnects if no chunk has arrived.
         prompt_tokens: Length of the whole prompt in tokens.
     """
 
@@ -55,17 +55,19 @@
     output_tokens: int
     priority: int
     arrived_at: float
-    aim_at: float
+    latency_target_at: float
     deadline_at: float
     identity: int = 0
     excluded: frozenset[str] = frozenset()
-    patience_seconds: float = math.inf
+    first_chunk_timeout_seconds: float = math.inf
     prompt_tokens: int = field(init=False, default=0)
 
     @property
-    def given_up_at(self) -> float:
+    def first_chunk_deadline_at(self) -> float:
         """Return the time at which the caller's first-chunk timeout ends."""
-        return min(self.deadline_at, self.arrived_at + self.patience_seconds)
+        return min(
+            self.deadline_at, self.arrived_at + self.first_chunk_timeout_seconds
+        )
 
     def __post_init__(self) -> None:
         # Precomputed: every decision reads it once per upstream.
--- a/packages/core/src/lacewingspar_core/admission_messages.py
+++ b/packages/core/src/lacewingspar_core/admission_messages.py
@@ -21,13 +21,14 @@
         output_tokens: Expected tokens of the response.
         priority: Priority of the route.
         waited_ms: Time since the request arrived.
-        aim_ms: Time until the latency target of the first chunk; negative if
-            the target has passed.
+        latency_target_ms: Time until the latency target of the first chunk;
+            negative if the target has passed.
         deadline_ms: Time until the deadline of the whole response.
         identity: Hash that stays the same when the caller retries the request,
             or 0.
         excluded: Upstreams that must not be used.
-        give_up_ms: Time until the caller's first-chunk timeout ends.
+        first_chunk_deadline_ms: Time until the caller's first-chunk timeout
+            ends.
     """
 
     service: str
@@ -39,11 +40,11 @@
     output_tokens: int
     priority: int
     waited_ms: int
-    aim_ms: int
+    latency_target_ms: int
     deadline_ms: int
     identity: int
     excluded: tuple[str, ...]
-    give_up_ms: int
+    first_chunk_deadline_ms: int
 
 
 class AdmissionGranted(PeerMessage, frozen=True, tag="adm+"):
@@ -128,18 +129,18 @@
     Attributes:
         number: Number of the request.
         upstream_id: Upstream that runs the request.
-        unread_tokens: Prompt tokens that the upstream may still have to
-            prefill (process before it generates the first output token).
+        pending_prefill_tokens: Prompt tokens that the upstream may still have
+            to prefill (process before it generates the first output token).
         memory_tokens: Tokens that the request occupies in the KV cache of the
             upstream.
-        left_ms: Time until the deadline of the request, in milliseconds.
+        remaining_ms: Time until the deadline of the request, in milliseconds.
     """
 
     number: int
     upstream_id: str
-    unread_tokens: int
+    pending_prefill_tokens: int
     memory_tokens: int
-    left_ms: int
+    remaining_ms: int
 
 
 class RunReport(PeerMessage, frozen=True, tag="runs"):
--- a/packages/core/src/lacewingspar_core/upstream_trust.py
+++ b/packages/core/src/lacewingspar_core/circuit_breaker.py
@@ -59,7 +59,7 @@
         self._block(now)
         return True
 
-    def note_unreachable(self, now: float) -> bool:
+    def record_unreachable(self, now: float) -> bool:
         """Record that no connection could be opened.
 
         Returns:
--- a/packages/core/src/lacewingspar_core/recent_declines.py
+++ b/packages/core/src/lacewingspar_core/decline_cache.py
@@ -9,14 +9,14 @@
 
 # Time to live of a cached decline. It is shorter than the waits that pools
 # accept, so their queues don't run empty meanwhile.
-QUIET_SECONDS = 0.1
+DECLINE_CACHE_SECONDS = 0.1
 # Random spread, in both directions, of the Retry-After that the pool returned.
 RETRY_JITTER_FRACTION = 0.25
 # Upper bound of Retry-After as a fraction of the caller's remaining time.
 MAX_RETRY_AFTER_FRACTION = 0.3
 
 
-class RecentDeclines:
+class DeclineCache:
     """Cache of declines for overload by workspace and route.
 
     Args:
@@ -27,7 +27,7 @@
         self._uniform = uniform
         self._decline_by_key: dict[tuple[str, str], tuple[float, float]] = {}
 
-    def note(
+    def record(
         self,
         workspace: str,
         route: str,
@@ -35,7 +35,7 @@
         now: float,
     ) -> None:
         """Cache the decline of a request for overload."""
-        decline = (now + QUIET_SECONDS, retry_after_seconds)
+        decline = (now + DECLINE_CACHE_SECONDS, retry_after_seconds)
         self._decline_by_key[workspace, route] = decline
 
     def is_empty(self, now: float) -> bool:
--- a/packages/core/src/lacewingspar_core/declined_requests.py
+++ b/packages/core/src/lacewingspar_core/first_attempt_targets.py
@@ -22,7 +22,11 @@
         ] = OrderedDict()
 
     def record(
-        self, workspace: str, identity: int, aim_at: float, now: float
+        self,
+        workspace: str,
+        identity: int,
+        latency_target_at: float,
+        now: float,
     ) -> None:
         """Store the latency target of a declined request."""
         if not identity:
@@ -30,8 +34,8 @@
         request = (workspace, identity)
         known = self._target_by_request.pop(request, None)
         if known is not None:
-            aim_at = min(aim_at, known[0])
-        self._target_by_request[request] = (aim_at, now)
+            latency_target_at = min(latency_target_at, known[0])
+        self._target_by_request[request] = (latency_target_at, now)
         self._prune(now)
 
     def pop_target(
--- a/packages/core/src/lacewingspar_core/hand_over.py
+++ b/packages/core/src/lacewingspar_core/hand_over.py
@@ -29,7 +29,7 @@
 EXCLUSION_SECONDS = 1.0
 
 
-class HandOverShare:
+class HandOverController:
     """Decides which new requests are handed over.
 
     Attributes:
@@ -40,7 +40,7 @@
         self.share = 0.0
         self._credit = 0.0
 
-    def note_delay(self, seconds: float) -> None:
+    def record_loop_delay(self, seconds: float) -> None:
         """Adapt the share to the measured delay of the event loop.
 
         Args:
@@ -56,7 +56,7 @@
         """Return whether this router is too busy to accept hand-overs."""
         return self.share >= BUSY_SHARE
 
-    def take_next(self) -> bool:
+    def should_hand_over_next(self) -> bool:
         """Return whether to hand over the next request, and count it."""
         self._credit += self.share
         if self._credit < 1.0:
@@ -78,7 +78,7 @@
     address: str
 
 
-def helpful_neighbours(
+def eligible_neighbours(
     own_id: str, data_centre: str, records: Mapping[str, MemberRecord]
 ) -> list[Neighbour]:
     """Return the routers of a data centre that may accept hand-overs.
@@ -115,11 +115,11 @@
     """Tracks in-flight hand-overs and excluded neighbours.
 
     Args:
-        most: Maximum number of in-flight hand-overs to all neighbours.
+        max_in_flight: Maximum number of in-flight hand-overs to all neighbours.
     """
 
-    def __init__(self, most: float = math.inf) -> None:
-        self._most = most
+    def __init__(self, max_in_flight: float = math.inf) -> None:
+        self._max_in_flight = max_in_flight
         self._in_flight_by_id: Counter[str] = Counter()
         self._excluded_until_by_id: dict[str, float] = {}
 
@@ -127,7 +127,7 @@
         self, neighbours: Iterable[Neighbour], now: float
     ) -> Neighbour | None:
         """Return the least loaded neighbour, or None if there is none."""
-        if self.under_way >= self._most:
+        if self.in_flight >= self._max_in_flight:
             return None
         return min(
             (
@@ -149,11 +149,11 @@
         if not self._in_flight_by_id[router_id]:
             del self._in_flight_by_id[router_id]
 
-    def skip(self, router_id: str, now: float) -> None:
+    def exclude(self, router_id: str, now: float) -> None:
         """Exclude a neighbour from the choice for a while."""
         self._excluded_until_by_id[router_id] = now + EXCLUSION_SECONDS
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Return the number of in-flight hand-overs to all neighbours."""
         return self._in_flight_by_id.total()
--- a/packages/core/src/lacewingspar_core/placement.py
+++ b/packages/core/src/lacewingspar_core/placement.py
@@ -9,6 +9,7 @@
 from operator import itemgetter
 
 from lacewingspar_core.admission_events import Admission, AdmissionKey
+from lacewingspar_core.circuit_breaker import CircuitBreaker
 from lacewingspar_core.directory import UpstreamEntry
 from lacewingspar_core.ownership import owner_of
 from lacewingspar_core.routing import UpstreamService
@@ -18,7 +19,6 @@
     UpstreamLoad,
     cached_prefix_tokens,
 )
-from lacewingspar_core.upstream_trust import CircuitBreaker
 
 # Weight of the time to prefill uncached shared parts. It is above 1 because the
 # prefill also evicts other parts, which then have to be prefilled again.
@@ -179,7 +179,7 @@
             ]
         if not available_members:
             return None
-        target = max(0.0, admission.aim_at - admission.arrived_at)
+        target = max(0.0, admission.latency_target_at - admission.arrived_at)
         waits_for_best = (
             now - admission.arrived_at < BEST_UPSTREAM_WAIT_FRACTION * target
         )
--- a/packages/core/src/lacewingspar_core/pool_admission.py
+++ b/packages/core/src/lacewingspar_core/pool_admission.py
@@ -22,12 +22,12 @@
     Queued,
     RunOutcome,
 )
-from lacewingspar_core.declined_requests import FirstAttemptTargets
+from lacewingspar_core.decline_cache import MAX_RETRY_AFTER_FRACTION
 from lacewingspar_core.directory import UpstreamEntry
 from lacewingspar_core.fair_queue import FairQueue
+from lacewingspar_core.first_attempt_targets import FirstAttemptTargets
 from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.placement import Placement, PoolMember
-from lacewingspar_core.recent_declines import MAX_RETRY_AFTER_FRACTION
 from lacewingspar_core.routing import UpstreamService
 from lacewingspar_core.upstream_load import (
     ActiveRun,
@@ -139,7 +139,9 @@
                 self._upstream_by_run.pop(key, None)
         return self._grant_waiting(now)
 
-    def ask(self, admission: Admission, now: float) -> list[AdmissionDecision]:
+    def submit(
+        self, admission: Admission, now: float
+    ) -> list[AdmissionDecision]:
         """Submit a request for admission.
 
         Submitting a request again returns its current state.
@@ -169,14 +171,14 @@
             decisions.append(Queued(key, wait))
         return decisions
 
-    def note_first_part(
+    def record_first_chunk(
         self, key: AdmissionKey, now: float
     ) -> list[AdmissionDecision]:
         """Record the first chunk of a response and grant queued requests."""
         member = self._member_of(key)
         if member is None:
             return []
-        member.load.note_first_part(key, now)
+        member.load.record_first_chunk(key, now)
         self._placement.record_load_change(member)
         member.breaker.record_response()
         return self._grant_waiting(now)
@@ -198,14 +200,17 @@
         member.breaker.record(outcome, now)
         return self._grant_waiting(now)
 
-    def note_unreachable(self, upstream_id: str, now: float) -> None:
+    def record_unreachable(self, upstream_id: str, now: float) -> None:
         """Record that no connection to an upstream could be opened."""
         member = self._placement.member_by_id.get(upstream_id)
         if member is not None:
-            member.breaker.note_unreachable(now)
+            member.breaker.record_unreachable(now)
 
     def reconcile(
-        self, holder: RouterInstance, runs: Iterable[ActiveRun], now: float
+        self,
+        ingress_router: RouterInstance,
+        runs: Iterable[ActiveRun],
+        now: float,
     ) -> list[AdmissionDecision]:
         """Reconcile the known runs with an ingress router's report.
 
@@ -214,7 +219,7 @@
         """
         reported = {run.key: run for run in runs}
         for key, upstream_id in list(self._upstream_by_run.items()):
-            if key.holder != holder or key in reported:
+            if key.ingress_router != ingress_router or key in reported:
                 continue
             load = self._placement.member_by_id[upstream_id].load
             granted_at = load.run_by_key[key].granted_at
@@ -228,15 +233,15 @@
                 self._placement.record_load_change(member)
         return self._grant_waiting(now)
 
-    def forget_holder(
-        self, holder: RouterInstance, now: float
+    def remove_ingress_router(
+        self, ingress_router: RouterInstance, now: float
     ) -> list[AdmissionDecision]:
         """Drop all requests of an ingress router that has left the fleet."""
         for key in list(self._upstream_by_run):
-            if key.holder == holder:
+            if key.ingress_router == ingress_router:
                 self._drop_run(key)
         for admission in list(self._queue):
-            if admission.key.holder == holder:
+            if admission.key.ingress_router == ingress_router:
                 self._queue.remove(admission)
         return self._grant_waiting(now)
 
@@ -247,7 +252,7 @@
         """
         for key, upstream_id in list(self._upstream_by_run.items()):
             run = self._placement.member_by_id[upstream_id].load.run_by_key[key]
-            if now > run.ends_by + RUN_DEADLINE_GRACE_SECONDS:
+            if now > run.deadline_at + RUN_DEADLINE_GRACE_SECONDS:
                 self._drop_run(key)
         decisions = self._grant_waiting(now)
         for admission in list(self._queue):
@@ -337,12 +342,17 @@
         self, admission: Admission, now: float
     ) -> Admission:
         """Return a request with the latency target of its first attempt."""
-        aim_at = self._first_attempt_targets.pop_target(
+        latency_target_at = self._first_attempt_targets.pop_target(
             admission.workspace, admission.identity, now
         )
-        if aim_at is None:
+        if latency_target_at is None:
             return admission
-        return replace(admission, aim_at=min(aim_at, admission.aim_at))
+        return replace(
+            admission,
+            latency_target_at=min(
+                latency_target_at, admission.latency_target_at
+            ),
+        )
 
     def _due_at(self, admission: Admission, cost: float) -> float:
         """Return when the first chunk is due, allowing for prefill time."""
@@ -350,7 +360,7 @@
             (item.load.rate for item in self._placement.member_by_id.values()),
             default=1.0,
         )
-        return admission.aim_at + PREFILL_GRACE_FACTOR * cost / rate
+        return admission.latency_target_at + PREFILL_GRACE_FACTOR * cost / rate
 
     def _grant_rate(self, now: float) -> float:
         """Return the cost that the pool can grant per second."""
@@ -404,10 +414,10 @@
             member.load.first_chunk_seconds(admission) for member in members
         )
         slack = due_at - now - first_chunk
-        timeout_slack = admission.given_up_at - now - first_chunk
-        target = max(0.0, admission.aim_at - admission.arrived_at)
+        timeout_slack = admission.first_chunk_deadline_at - now - first_chunk
+        target = max(0.0, admission.latency_target_at - admission.arrived_at)
         allowed = max(slack, LONG_PROMPT_WAIT_FRACTION * target)
-        if admission.aim_at < now:
+        if admission.latency_target_at < now:
             # A retry: the target of the first attempt has already passed.
             time_left = admission.deadline_at - now
             allowed = max(allowed, RETRIED_WAIT_FRACTION * time_left)
@@ -429,17 +439,19 @@
             return REASON_NO_UPSTREAM
         if not self._can_end_in_time(admission, members, now):
             return REASON_DEADLINE
-        if now < admission.aim_at:
+        if now < admission.latency_target_at:
             return None
-        limit = SHED_WAIT_FACTOR * (admission.aim_at - admission.arrived_at)
-        if admission.aim_at < admission.arrived_at:
+        limit = SHED_WAIT_FACTOR * (
+            admission.latency_target_at - admission.arrived_at
+        )
+        if admission.latency_target_at < admission.arrived_at:
             budget = admission.deadline_at - admission.arrived_at
             limit = SHED_WAIT_FACTOR * RETRIED_WAIT_FRACTION * budget
         due_at = self._queue.due_at(admission.key)
         wait = self._expected_wait(admission, due_at, now)
         if now + wait - admission.arrived_at > limit:
             return REASON_OVERLOADED
-        time_left = admission.given_up_at - now - wait
+        time_left = admission.first_chunk_deadline_at - now - wait
         if time_left > FIRST_CHUNK_CHECK_SECONDS:
             return None
         first_chunk = min(
@@ -452,7 +464,10 @@
     ) -> Declined:
         self.declined.add(admission.workspace)
         self._first_attempt_targets.record(
-            admission.workspace, admission.identity, admission.aim_at, now
+            admission.workspace,
+            admission.identity,
+            admission.latency_target_at,
+            now,
         )
         wait = self._expected_wait(admission, due_at, now)
         digest = xxhash.xxh32_intdigest(str(admission.key.number).encode())
--- a/packages/core/src/lacewingspar_core/retry_allowance.py
+++ b/packages/core/src/lacewingspar_core/retry_budget.py
@@ -16,38 +16,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RetryBound:
+class RetryBudgetConfig:
     """Limit of the fleet on retries to one service.
 
     Attributes:
         ratio: Retries allowed per request.
         window_seconds: Window in which requests and retries are counted.
-        allowance: Retries allowed per window in addition to the ratio.
+        base_retries: Retries allowed per window in addition to the ratio.
     """
 
     ratio: float
     window_seconds: float
-    allowance: float
+    base_retries: float
 
 
 @dataclass(slots=True)
-class RetryAllowance:
+class RetryBudget:
     """Retry budget of this router for one service.
 
     Attributes:
         bound: Limit of the fleet.
     """
 
-    bound: RetryBound
+    bound: RetryBudgetConfig
     _request_times: deque[float] = field(default_factory=deque)
     _retry_times: deque[float] = field(default_factory=deque)
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count the first attempt of a request."""
         self._request_times.append(now)
         self._prune(now)
 
-    def take(self, routers: int, now: float) -> bool:
+    def try_spend(self, routers: int, now: float) -> bool:
         """Count a retry if the budget allows it.
 
         Args:
@@ -58,7 +58,7 @@
             Whether the request may be retried.
         """
         self._prune(now)
-        fixed = self.bound.allowance / max(1, routers)
+        fixed = self.bound.base_retries / max(1, routers)
         earned = self.bound.ratio * len(self._request_times)
         if len(self._retry_times) + 1 > ROUTER_BUDGET_FRACTION * (
             fixed + earned
--- a/packages/core/src/lacewingspar_core/entry_limit.py
+++ b/packages/core/src/lacewingspar_core/router_concurrency_limit.py
@@ -28,13 +28,13 @@
 INCREASE_FRACTION = 0.1
 MIN_USED_FRACTION = 0.5
 # Lower bound of the limit, however slow the router is.
-LEAST_LIMIT = 8
+MIN_LIMIT = 8
 # Initial limit per CPU core: half of the 530 requests per second that
 # docs/proof.md records for one core, with a duration of one second each.
 REQUESTS_PER_PROCESSOR = 265
 
 
-class EntryLimit:
+class RouterConcurrencyLimit:
     """Concurrency limit that adapts to the delay of the event loop.
 
     The limit falls while the event loop is late and grows otherwise. When it is
@@ -49,15 +49,13 @@
     """
 
     def __init__(self, processors: float = 1.0) -> None:
-        self.limit = max(
-            LEAST_LIMIT, round(REQUESTS_PER_PROCESSOR * processors)
-        )
+        self.limit = max(MIN_LIMIT, round(REQUESTS_PER_PROCESSOR * processors))
         self.active = 0
         self._peak_active = 0
         self._late_samples = 0
         self._active_by_workspace: Counter[str] = Counter()
 
-    def note_delay(self, seconds: float) -> None:
+    def record_loop_delay(self, seconds: float) -> None:
         """Adapt the limit to the measured delay of the event loop.
 
         Args:
@@ -82,7 +80,7 @@
             MAX_RETAINED_FRACTION, max(MIN_RETAINED_FRACTION, 2 / lateness)
         )
         used = min(self.limit, self.active)
-        self.limit = max(LEAST_LIMIT, int(factor * used))
+        self.limit = max(MIN_LIMIT, int(factor * used))
 
     @property
     def is_full(self) -> bool:
@@ -97,7 +95,7 @@
         workspaces = len(self._active_by_workspace) + (own == 0)
         return own < self.limit / workspaces
 
-    def begin(self, workspace: str) -> bool:
+    def try_acquire(self, workspace: str) -> bool:
         """Count a request if it may be accepted, and return whether it may."""
         if not self.has_room(workspace):
             return False
@@ -106,7 +104,7 @@
         self._peak_active = max(self._peak_active, self.active)
         return True
 
-    def end(self, workspace: str) -> None:
+    def release(self, workspace: str) -> None:
         """Release the place of a request that has ended."""
         self.active -= 1
         self._active_by_workspace[workspace] -= 1
--- a/packages/core/src/lacewingspar_core/routing.py
+++ b/packages/core/src/lacewingspar_core/routing.py
@@ -64,7 +64,7 @@
     is_public: bool
     is_resumable: bool
     pause_aim_seconds: float
-    patience_seconds: float = math.inf
+    first_chunk_timeout_seconds: float = math.inf
 
     @property
     def may_run_again(self) -> bool:
--- a/packages/core/src/lacewingspar_core/upstream_load.py
+++ b/packages/core/src/lacewingspar_core/upstream_load.py
@@ -5,7 +5,7 @@
 
 from lacewingspar_core.admission_events import Admission, AdmissionKey
 from lacewingspar_core.linear_fit import LinearFit
-from lacewingspar_core.prefix_memory import PrefixCache, PromptPart
+from lacewingspar_core.prefix_cache import PrefixCache, PromptPart
 from lacewingspar_core.routing import EngineProfile
 
 # Maximum prefill time of the prompt tokens that wait at an engine. Engines
@@ -46,10 +46,10 @@
     Attributes:
         key: Identity of the request.
         upstream_id: Upstream that runs the request.
-        unread_tokens: Prompt tokens that the upstream has to prefill, or 0
-            once the first chunk has arrived.
+        pending_prefill_tokens: Prompt tokens that the upstream has to prefill,
+            or 0 once the first chunk has arrived.
         memory_tokens: Tokens that the request occupies in the KV cache.
-        ends_by: Deadline of the request.
+        deadline_at: Deadline of the request.
         granted_at: Time of the grant, or of the first chunk once it has
             arrived.
         prefill_ahead_tokens: Pending prefill tokens of the upstream at the
@@ -59,9 +59,9 @@
 
     key: AdmissionKey
     upstream_id: str
-    unread_tokens: int
+    pending_prefill_tokens: int
     memory_tokens: int
-    ends_by: float
+    deadline_at: float
     granted_at: float
     prefill_ahead_tokens: int = 0
     output_tokens: int = 0
@@ -116,7 +116,7 @@
     def add_run(self, run: ActiveRun) -> None:
         """Add a run, for example one that another router granted."""
 
-    def note_first_part(self, key: AdmissionKey, now: float) -> None:
+    def record_first_chunk(self, key: AdmissionKey, now: float) -> None:
         """Record the first chunk of a response."""
 
     def end(self, key: AdmissionKey, now: float) -> ActiveRun | None:
@@ -135,7 +135,7 @@
         profile: Capacity of the engine as configured by the operators.
         prior_tokens_per_second: Initial prefill rate, or 0 for the default.
         run_by_key: Runs that have not ended.
-        unread_tokens: Prompt tokens that the engine has to prefill.
+        pending_prefill_tokens: Prompt tokens that the engine has to prefill.
         memory_tokens: KV cache tokens that the runs occupy.
         decode_seconds_per_token: Moving average of the time to generate one
             token.
@@ -147,7 +147,7 @@
     profile: EngineProfile
     prior_tokens_per_second: float
     run_by_key: dict[AdmissionKey, ActiveRun] = field(default_factory=dict)
-    unread_tokens: int = 0
+    pending_prefill_tokens: int = 0
     memory_tokens: int = 0
     decode_seconds_per_token: float = DEFAULT_DECODE_SECONDS_PER_TOKEN
     rate: float = field(init=False)
@@ -172,13 +172,14 @@
         """Return whether any request may be sent now."""
         return not self.run_by_key or (
             len(self.run_by_key) < self.profile.slots
-            and self.unread_tokens < PREFILL_BACKLOG_SECONDS * self.rate
+            and self.pending_prefill_tokens
+            < PREFILL_BACKLOG_SECONDS * self.rate
         )
 
     @property
     def min_first_chunk_seconds(self) -> float:
         """Return the expected time to the first chunk of a small request."""
-        return self._first_chunk_fit.at(self.unread_tokens)
+        return self._first_chunk_fit.at(self.pending_prefill_tokens)
 
     def assess(self, admission: Admission) -> PlacementEstimate:
         """Return the estimate for running a request here now.
@@ -188,7 +189,7 @@
         """
         parts = admission.shared_parts
         cached = self.prefix_cache.cached_tokens(parts) if parts else 0
-        pending = self.unread_tokens + admission.prompt_tokens - cached
+        pending = self.pending_prefill_tokens + admission.prompt_tokens - cached
         first_chunk = self._first_chunk_fit
         return PlacementEstimate(
             first_chunk.intercept + first_chunk.slope * pending,
@@ -210,8 +211,9 @@
         if needed > KV_CACHE_FRACTION * profile.memory_tokens:
             return False
         limit = PREFILL_BACKLOG_SECONDS * self.rate
-        return self.unread_tokens <= ANY_PROMPT_BACKLOG_FRACTION * limit or (
-            pending <= limit
+        return (
+            self.pending_prefill_tokens <= ANY_PROMPT_BACKLOG_FRACTION * limit
+            or (pending <= limit)
         )
 
     def uncached_tokens(self, admission: Admission) -> int:
@@ -222,7 +224,7 @@
     def first_chunk_seconds(self, admission: Admission) -> float:
         """Return the expected time from sending to the first chunk."""
         return self._first_chunk_fit.at(
-            self.unread_tokens + self.uncached_tokens(admission)
+            self.pending_prefill_tokens + self.uncached_tokens(admission)
         )
 
     def request_cost(self, admission: Admission) -> float:
@@ -248,11 +250,11 @@
             ActiveRun(
                 key=admission.key,
                 upstream_id=self.upstream_id,
-                unread_tokens=uncached,
+                pending_prefill_tokens=uncached,
                 memory_tokens=_required_memory_tokens(admission),
-                ends_by=admission.deadline_at,
+                deadline_at=admission.deadline_at,
                 granted_at=now,
-                prefill_ahead_tokens=self.unread_tokens + uncached,
+                prefill_ahead_tokens=self.pending_prefill_tokens + uncached,
                 output_tokens=admission.output_tokens,
             )
         )
@@ -260,22 +262,25 @@
     def add_run(self, run: ActiveRun) -> None:
         """Add a run, for example one that another router granted."""
         self.run_by_key[run.key] = run
-        self.unread_tokens += run.unread_tokens
+        self.pending_prefill_tokens += run.pending_prefill_tokens
         self.memory_tokens += run.memory_tokens
 
-    def note_first_part(self, key: AdmissionKey, now: float) -> None:
+    def record_first_chunk(self, key: AdmissionKey, now: float) -> None:
         """Record the end of the prefill, and update its measured rate."""
         run = self.run_by_key.get(key)
-        if run is None or run.unread_tokens == 0:
+        if run is None or run.pending_prefill_tokens == 0:
             return
         if run.prefill_ahead_tokens:
             self._first_chunk_fit.add(
                 run.prefill_ahead_tokens, now - run.granted_at
             )
             self.rate = self._measured_rate()
-        self.unread_tokens -= run.unread_tokens
+        self.pending_prefill_tokens -= run.pending_prefill_tokens
         self.run_by_key[key] = replace(
-            run, unread_tokens=0, granted_at=now, prefill_ahead_tokens=0
+            run,
+            pending_prefill_tokens=0,
+            granted_at=now,
+            prefill_ahead_tokens=0,
         )
 
     def end(self, key: AdmissionKey, now: float) -> ActiveRun | None:
@@ -283,7 +288,7 @@
         run = self.run_by_key.pop(key, None)
         if run is not None:
             self._update_decode_time(run, now)
-            self.unread_tokens -= run.unread_tokens
+            self.pending_prefill_tokens -= run.pending_prefill_tokens
             self.memory_tokens -= run.memory_tokens
         return run
 
@@ -293,7 +298,7 @@
         return self.first_chunk_seconds(admission) + decode_seconds
 
     def _update_decode_time(self, run: ActiveRun, now: float) -> None:
-        if run.unread_tokens or not run.output_tokens:
+        if run.pending_prefill_tokens or not run.output_tokens:
             return
         seconds = max(0.0, now - run.granted_at) / run.output_tokens
         self.decode_seconds_per_token += DECODE_TIME_WEIGHT * (
@@ -365,9 +370,9 @@
             ActiveRun(
                 key=admission.key,
                 upstream_id=self.upstream_id,
-                unread_tokens=0,
+                pending_prefill_tokens=0,
                 memory_tokens=0,
-                ends_by=admission.deadline_at,
+                deadline_at=admission.deadline_at,
                 granted_at=now,
             )
         )
@@ -376,7 +381,7 @@
         """Add a run, for example one that another router granted."""
         self.run_by_key[run.key] = run
 
-    def note_first_part(self, key: AdmissionKey, now: float) -> None:
+    def record_first_chunk(self, key: AdmissionKey, now: float) -> None:
         """Do nothing; a call occupies its slot until it ends."""
 
     def end(self, key: AdmissionKey, now: float) -> ActiveRun | None:
--- a/packages/core/src/lacewingspar_core/workspace_tally.py
+++ b/packages/core/src/lacewingspar_core/workspace_tally.py
@@ -21,7 +21,7 @@
         """Return the total over all workspaces."""
         return self._sum_by_workspace.total()
 
-    def take_largest(self) -> dict[str, int]:
+    def pop_largest(self) -> dict[str, int]:
         """Return the largest totals by workspace, and reset all totals."""
         largest = dict(
             self._sum_by_workspace.most_common(MAX_REPORTED_WORKSPACES)
--- a/packages/router/src/lacewingspar_router/components/admission/holder.py
+++ b/packages/router/src/lacewingspar_router/components/admission/holder.py
@@ -143,14 +143,14 @@
                         shard=pool.shard,
                     )
 
-    def note_first_part(self, grant: Grant) -> None:
+    def record_first_chunk(self, grant: Grant) -> None:
         """Report to the owner that the first chunk of the response arrived."""
         run = self._run_by_number.get(grant.number)
         if run is None or run.has_first_chunk:
             return
         run.has_first_chunk = True
         if run.owner == self._app.instance.router_id:
-            self._owned_pools.note_first_part(run.pool, run.admission.key)
+            self._owned_pools.record_first_chunk(run.pool, run.admission.key)
             return
         self._peers.send(
             run.owner,
@@ -253,7 +253,7 @@
     def _send_request(self, pending: _PendingRequest) -> None:
         admission = pending.admission
         if pending.owner == self._app.instance.router_id:
-            self._owned_pools.ask(pending.pool, admission)
+            self._owned_pools.submit(pending.pool, admission)
             return
         request = encode_request(pending.pool, admission, self._app.now())
         self._peers.send(pending.owner, request)
@@ -355,11 +355,11 @@
             output_tokens=requirements.output_tokens,
             priority=requirements.priority,
             arrived_at=requirements.arrived_at,
-            aim_at=requirements.aim_at,
+            latency_target_at=requirements.latency_target_at,
             deadline_at=requirements.deadline_at,
             identity=requirements.identity,
             excluded=excluded,
-            patience_seconds=requirements.patience_seconds,
+            first_chunk_timeout_seconds=requirements.first_chunk_timeout_seconds,
         )
 
     def _reported_run(self, number: int, run: _GrantedRun) -> ReportedRun:
@@ -368,9 +368,11 @@
         return ReportedRun(
             number=number,
             upstream_id=run.upstream_id,
-            unread_tokens=0 if run.has_first_chunk else admission.own_tokens,
+            pending_prefill_tokens=0
+            if run.has_first_chunk
+            else admission.own_tokens,
             memory_tokens=admission.prompt_tokens + admission.output_tokens,
-            left_ms=max(0, milliseconds(remaining_seconds)),
+            remaining_ms=max(0, milliseconds(remaining_seconds)),
         )
 
     def _deliver_decision(
@@ -378,11 +380,11 @@
     ) -> None:
         """Deliver the decision of an owned pool to the ingress router."""
         key = decision.key
-        if key.holder == self._app.instance:
+        if key.ingress_router == self._app.instance:
             self._enqueue_decision(self._app.instance.router_id, decision)
             return
         self._peers.send(
-            key.holder.router_id, encode_decision(service, decision)
+            key.ingress_router.router_id, encode_decision(service, decision)
         )
 
     def _enqueue_decision(
--- a/packages/router/src/lacewingspar_router/components/admission/messages.py
+++ b/packages/router/src/lacewingspar_router/components/admission/messages.py
@@ -16,7 +16,7 @@
 )
 from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import AnyPeerMessage
-from lacewingspar_core.prefix_memory import PromptPart
+from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_router.components.admission.pools import Pool
 
 DECISION_MESSAGES = (AdmissionGranted, AdmissionQueued, AdmissionDeclined)
@@ -41,11 +41,13 @@
         output_tokens=admission.output_tokens,
         priority=admission.priority,
         waited_ms=milliseconds(now - admission.arrived_at),
-        aim_ms=milliseconds(admission.aim_at - now),
+        latency_target_ms=milliseconds(admission.latency_target_at - now),
         deadline_ms=milliseconds(admission.deadline_at - now),
         identity=admission.identity,
         excluded=tuple(admission.excluded),
-        give_up_ms=milliseconds(admission.given_up_at - now),
+        first_chunk_deadline_ms=milliseconds(
+            admission.first_chunk_deadline_at - now
+        ),
     )
 
 
@@ -72,11 +74,14 @@
         output_tokens=request.output_tokens,
         priority=request.priority,
         arrived_at=now - request.waited_ms / 1000,
-        aim_at=now + request.aim_ms / 1000,
+        latency_target_at=now + request.latency_target_ms / 1000,
         deadline_at=now + request.deadline_ms / 1000,
         identity=request.identity,
         excluded=frozenset(request.excluded),
-        patience_seconds=(request.waited_ms + request.give_up_ms) / 1000,
+        first_chunk_timeout_seconds=(
+            request.waited_ms + request.first_chunk_deadline_ms
+        )
+        / 1000,
     )
 
 
--- a/packages/router/src/lacewingspar_router/components/admission/models.py
+++ b/packages/router/src/lacewingspar_router/components/admission/models.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from lacewingspar_core.admission_events import RunOutcome
-from lacewingspar_core.prefix_memory import PromptPart
+from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_router.application import ComponentKey
 
 
@@ -39,9 +39,9 @@
     output_tokens: int
     priority: int
     arrived_at: float
-    aim_at: float
+    latency_target_at: float
     deadline_at: float
-    patience_seconds: float
+    first_chunk_timeout_seconds: float
     identity: int
 
 
@@ -80,7 +80,7 @@
                 sent to an upstream.
         """
 
-    def note_first_part(self, grant: Grant) -> None:
+    def record_first_chunk(self, grant: Grant) -> None:
         """Report to the owner that the first chunk of the response arrived."""
 
     def end(
--- a/packages/router/src/lacewingspar_router/components/admission/owner.py
+++ b/packages/router/src/lacewingspar_router/components/admission/owner.py
@@ -57,15 +57,19 @@
         self._peers.add_listener(self._on_peers_changed)
         self._routing.add_listener(self._on_routing_changed)
 
-    def ask(self, pool: Pool, admission: Admission) -> None:
+    def submit(self, pool: Pool, admission: Admission) -> None:
         """Submit an admission request for a decision."""
-        decisions = self._pool_admission(pool).ask(admission, self._app.now())
+        decisions = self._pool_admission(pool).submit(
+            admission, self._app.now()
+        )
         self._deliver_all(pool, decisions)
 
-    def note_first_part(self, pool: Pool, key: AdmissionKey) -> None:
+    def record_first_chunk(self, pool: Pool, key: AdmissionKey) -> None:
         """Record that the first chunk of a response arrived."""
         admission = self._pool_admission(pool)
-        self._deliver_all(pool, admission.note_first_part(key, self._app.now()))
+        self._deliver_all(
+            pool, admission.record_first_chunk(key, self._app.now())
+        )
 
     def end(
         self,
@@ -85,7 +89,7 @@
         now = self._app.now()
         admission = self._pool_admission(pool)
         if unreachable:
-            admission.note_unreachable(unreachable, now)
+            admission.record_unreachable(unreachable, now)
         self._deliver_all(pool, admission.end(key, outcome, now))
 
     def tick(self) -> None:
@@ -113,9 +117,9 @@
                 waiting=admission.waiting,
                 running=admission.running,
                 granted_cost=granted,
-                granted_cost_by_workspace=admission.granted.take_largest(),
+                granted_cost_by_workspace=admission.granted.pop_largest(),
                 declined=declined,
-                declined_by_workspace=admission.declined.take_largest(),
+                declined_by_workspace=admission.declined.pop_largest(),
             )
 
     def _pool_admission(self, pool: Pool) -> PoolAdmission:
@@ -171,7 +175,9 @@
                 "peer router is no longer alive", router_id=instance.router_id
             )
             for pool, admission in self._admission_by_pool.items():
-                self._deliver_all(pool, admission.forget_holder(instance, now))
+                self._deliver_all(
+                    pool, admission.remove_ingress_router(instance, now)
+                )
         for instance in instances - self._known_instances:
             _LOGGER.info("peer router discovered", router_id=instance.router_id)
         self._known_instances = instances
@@ -185,12 +191,12 @@
         admission = decode_request(
             received.sender, received.data_centre, request, self._app.now()
         )
-        self.ask(Pool(request.service, request.shard), admission)
+        self.submit(Pool(request.service, request.shard), admission)
 
     def _on_started(self, received: ReceivedMessage) -> None:
         started = received.message
         assert isinstance(started, RunStarted)
-        self.note_first_part(
+        self.record_first_chunk(
             Pool(started.service, started.shard),
             AdmissionKey(received.sender, started.number),
         )
@@ -219,9 +225,9 @@
             ActiveRun(
                 key=AdmissionKey(ingress_router, run.number),
                 upstream_id=run.upstream_id,
-                unread_tokens=run.unread_tokens,
+                pending_prefill_tokens=run.pending_prefill_tokens,
                 memory_tokens=run.memory_tokens,
-                ends_by=now + run.left_ms / 1000,
+                deadline_at=now + run.remaining_ms / 1000,
                 granted_at=now,
             )
             for run in report.runs
--- a/packages/router/src/lacewingspar_router/components/admission/pools.py
+++ b/packages/router/src/lacewingspar_router/components/admission/pools.py
@@ -10,7 +10,7 @@
     shard_of,
     weighted_shard_of,
 )
-from lacewingspar_core.prefix_memory import PromptPart
+from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.admission import const
 from lacewingspar_router.components.peers.models import PEERS
--- a/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
@@ -206,7 +206,7 @@
         self._start_response(head)
         return self._caller_response.exchange.write(ready)
 
-    def note_first_part(self) -> None:
+    def record_first_chunk(self) -> None:
         """Report that the first chunk of the response arrived."""
         self._on_first_chunk()
 
@@ -291,7 +291,7 @@
         """Relay a chunk; return whether the caller can take more at once."""
         if self._is_first:
             self._is_first = False
-            self._attempt.note_first_part()
+            self._attempt.record_first_chunk()
         return self._attempt.relay_chunk(self._head, data)
 
     async def async_drain(self) -> None:
--- a/packages/router/src/lacewingspar_router/components/forwarding/entry.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/entry.py
@@ -1,7 +1,7 @@
 """Refusal of requests that this router or their pool has no room for."""
 
-from lacewingspar_core.entry_limit import EntryLimit
-from lacewingspar_core.recent_declines import RecentDeclines
+from lacewingspar_core.decline_cache import DeclineCache
+from lacewingspar_core.router_concurrency_limit import RouterConcurrencyLimit
 from lacewingspar_core.workspace_tally import WorkspaceTally
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.forwarding import const, refusals
@@ -32,7 +32,7 @@
 
     def __init__(self, app: Application, recorder: RequestRecorder) -> None:
         assert app.settings.platform is not None
-        self.limit = EntryLimit(app.settings.platform.capacity)
+        self.limit = RouterConcurrencyLimit(app.settings.platform.capacity)
         self.offered = WorkspaceTally()
         self.refused = WorkspaceTally()
         self._app = app
@@ -40,7 +40,7 @@
         self._routing = app.get(ROUTING)
         self._wire_format = app.get(WIRE_FORMAT)
         self._telemetry = app.get(TELEMETRY)
-        self._declines = RecentDeclines(app.random.uniform)
+        self._declines = DeclineCache(app.random.uniform)
 
     def refuse_early(self, request: HttpRequest) -> Response | None:
         """Return the refusal of a request that this router cannot serve.
@@ -77,7 +77,7 @@
             RequestRefusedError: The limit is reached.
         """
         self.offered.add(workspace)
-        if not self.limit.begin(workspace):
+        if not self.limit.try_acquire(workspace):
             raise self._overloaded(workspace)
 
     def record_decline(
@@ -91,7 +91,7 @@
             retry_after_seconds: Time after which the caller may retry.
         """
         if code == refusals.OVERLOADED:
-            self._declines.note(
+            self._declines.record(
                 call.workspace,
                 call.route.name,
                 retry_after_seconds,
--- a/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
@@ -7,10 +7,10 @@
 import structlog
 
 from lacewingspar_core.hand_over import (
-    HandOverShare,
+    HandOverController,
     Neighbour,
     NeighbourLoads,
-    helpful_neighbours,
+    eligible_neighbours,
 )
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.forwarding import const, refusals
@@ -71,7 +71,7 @@
         app: Application,
         record_decline: Callable[[Call, str, float], None],
     ) -> None:
-        self.share = HandOverShare()
+        self.share = HandOverController()
         self._record_decline = record_decline
         self._app = app
         self._wire_format = app.get(WIRE_FORMAT)
@@ -102,7 +102,7 @@
         """
         if call.fields.handed_over_after_seconds is not None:
             return None
-        if not self.share.take_next():
+        if not self.share.should_hand_over_next():
             return None
         return self._neighbour_loads.choose(
             self._known_neighbours(), self._app.now()
@@ -258,7 +258,7 @@
 
     def _known_neighbours(self) -> list[Neighbour]:
         if self._neighbours is None:
-            self._neighbours = helpful_neighbours(
+            self._neighbours = eligible_neighbours(
                 self._app.instance.router_id,
                 self._app.settings.data_centre,
                 self._peers.alive_by_router_id,
--- a/packages/router/src/lacewingspar_router/components/forwarding/handler.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/handler.py
@@ -13,7 +13,7 @@
 )
 from lacewingspar_core.directory import UpstreamEntry
 from lacewingspar_core.event_stream import EventSequence
-from lacewingspar_core.retry_allowance import RetryAllowance, RetryBound
+from lacewingspar_core.retry_budget import RetryBudget, RetryBudgetConfig
 from lacewingspar_core.routing import choose_target
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.admission.models import (
@@ -67,12 +67,12 @@
         self._wire_format = app.get(WIRE_FORMAT)
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
-        self._retry_bound = RetryBound(
+        self._retry_bound = RetryBudgetConfig(
             settings.retry_ratio,
             settings.retry_window_seconds,
             settings.retry_allowance,
         )
-        self._allowance_by_service: dict[str, RetryAllowance] = {}
+        self._allowance_by_service: dict[str, RetryBudget] = {}
         self._pool_by_address: dict[str, ConnectionPool] = {}
         self._crash_guard = CrashGuard(app)
         self._recorder = RequestRecorder(app)
@@ -97,7 +97,7 @@
             if not await self._async_hand_over(exchange, call):
                 await self._async_serve(exchange, call)
         finally:
-            self.load_shedder.limit.end(call.workspace)
+            self.load_shedder.limit.release(call.workspace)
 
     async def _async_hand_over(
         self, exchange: ServerExchange, call: Call
@@ -203,7 +203,7 @@
             RequestRefusedError: No upstream responded.
         """
         call = progress.call
-        self._retry_allowance(call.service).note_request(self._app.now())
+        self._retry_allowance(call.service).record_request(self._app.now())
         remaining_seconds = call.deadline_at - self._app.now()
         try:
             async with asyncio.timeout(
@@ -310,7 +310,7 @@
             self._wire_format,
             progress.caller_response,
             self._app.now,
-            lambda: self._admission.note_first_part(grant),
+            lambda: self._admission.record_first_chunk(grant),
             can_switch_upstream=self._can_switch_upstream(progress.history),
         )
         entries = self._routing.directory.entry_by_id
@@ -343,7 +343,7 @@
         if not history.sent:
             return True
         routers = len(self._peers.alive_by_router_id)
-        if self._retry_allowance(call.service).take(routers, now):
+        if self._retry_allowance(call.service).try_spend(routers, now):
             return True
         self._telemetry.count("retries_denied_total", service=call.service)
         _LOGGER.info(
@@ -365,9 +365,9 @@
             output_tokens=fields.output_tokens,
             priority=call.route.priority,
             arrived_at=call.arrived_at,
-            aim_at=call.arrived_at + call.route.aim_seconds,
+            latency_target_at=call.arrived_at + call.route.aim_seconds,
             deadline_at=call.deadline_at,
-            patience_seconds=call.route.patience_seconds,
+            first_chunk_timeout_seconds=call.route.first_chunk_timeout_seconds,
             identity=call.identity,
         )
 
@@ -382,7 +382,9 @@
         """
         now = self._app.now()
         return replace(
-            requirements, arrived_at=now, aim_at=now + call.route.aim_seconds
+            requirements,
+            arrived_at=now,
+            latency_target_at=now + call.route.aim_seconds,
         )
 
     def _send_response(
@@ -405,10 +407,10 @@
             response = self._wire_format.refusal(error, request_id)
             exchange.answer(response.status, response.headers, response.body)
 
-    def _retry_allowance(self, service: str) -> RetryAllowance:
+    def _retry_allowance(self, service: str) -> RetryBudget:
         allowance = self._allowance_by_service.get(service)
         if allowance is None:
-            allowance = RetryAllowance(self._retry_bound)
+            allowance = RetryBudget(self._retry_bound)
             self._allowance_by_service[service] = allowance
         return allowance
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
@@ -63,8 +63,8 @@
     def _record_delay(self, seconds: float) -> None:
         self._largest_delay_seconds = max(self._largest_delay_seconds, seconds)
         limit = self._limit
-        limit.note_delay(seconds)
-        self._hand_over.share.note_delay(seconds)
+        limit.record_loop_delay(seconds)
+        self._hand_over.share.record_loop_delay(seconds)
         self._telemetry.gauge("event_loop_delay_seconds", seconds)
         self._telemetry.gauge("requests_under_way", limit.active)
         if self._is_limited == limit.is_full:
@@ -102,9 +102,9 @@
             ),
             interval_ms=round((now - self._reported_at) * 1000),
             offered=self._load_shedder.offered.total,
-            offered_by_workspace=self._load_shedder.offered.take_largest(),
+            offered_by_workspace=self._load_shedder.offered.pop_largest(),
             refused=self._load_shedder.refused.total,
-            refused_by_workspace=self._load_shedder.refused.take_largest(),
+            refused_by_workspace=self._load_shedder.refused.pop_largest(),
         )
         self._reported_at = now
         self._reported_accepted = accepted
--- a/packages/router/src/lacewingspar_router/components/forwarding/models.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/models.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from lacewingspar_core.directory import UpstreamEntry
-from lacewingspar_core.prefix_memory import PromptPart
+from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_core.routing import Route
 from lacewingspar_router.application import ComponentKey
 from lacewingspar_router.errors import RequestRefusedError
--- a/packages/router/src/lacewingspar_router/platform/manifest.py
+++ b/packages/router/src/lacewingspar_router/platform/manifest.py
@@ -153,7 +153,7 @@
         is_public=item.public,
         is_resumable=item.resumable,
         pause_aim_seconds=item.gap_aim_ms / 1000,
-        patience_seconds=(
+        first_chunk_timeout_seconds=(
             _first_chunk_timeout(item) if kind is RouteKind.STREAM else math.inf
         ),
     )
--- a/packages/router/src/lacewingspar_router/platform/wire_format.py
+++ b/packages/router/src/lacewingspar_router/platform/wire_format.py
@@ -1,7 +1,7 @@
 """Encodes and decodes the platform's request and response headers."""
 
 from lacewingspar_core.directory import UpstreamEntry
-from lacewingspar_core.prefix_memory import PromptPart
+from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_router.components.forwarding.models import (
     AnswerFacts,
     Call,
--- a/tests/core/engine_model.py
+++ b/tests/core/engine_model.py
@@ -23,7 +23,7 @@
 from lacewingspar_core.directory import UpstreamEntry, UpstreamState
 from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.pool_admission import PoolAdmission
-from lacewingspar_core.prefix_memory import PrefixCache, PromptPart
+from lacewingspar_core.prefix_cache import PrefixCache, PromptPart
 from lacewingspar_core.routing import EngineProfile, UpstreamService
 
 INGRESS_ROUTER = RouterInstance("router", 1)
@@ -73,7 +73,7 @@
         "output_tokens": 0,
         "priority": 1,
         "arrived_at": now,
-        "aim_at": now + LATENCY_TARGET_SECONDS,
+        "latency_target_at": now + LATENCY_TARGET_SECONDS,
         "deadline_at": now + DEADLINE_SECONDS,
     }
     return Admission(**values | changes)
@@ -208,22 +208,22 @@
                 request = replace(request, identity=number + 1)
                 self._admission_by_key[request.key] = request
                 self._served(request).sent += 1
-                self._apply(self.pool.ask(request, now), now)
+                self._apply(self.pool.submit(request, now), now)
             case "retry":
                 self._retried.add(value.identity)
                 self._admission_by_key[value.key] = value
-                self._apply(self.pool.ask(value, now), now)
+                self._apply(self.pool.submit(value, now), now)
             case "first_chunk":
                 request = self._admission_by_key[value]
                 served = self._served(request)
                 self._served_keys.add(value)
                 is_retry = request.identity in self._retried
-                if now <= request.aim_at and not is_retry:
+                if now <= request.latency_target_at and not is_retry:
                     served.on_time += 1
                 else:
                     served.late += 1
                 self._push(now + DECODE_SECONDS, "end", value)
-                self._apply(self.pool.note_first_part(value, now), now)
+                self._apply(self.pool.record_first_chunk(value, now), now)
             case "end":
                 outcome = RunOutcome.COMPLETED
                 self._apply(self.pool.end(value, outcome, now), now)
@@ -258,7 +258,7 @@
             request,
             key=AdmissionKey(INGRESS_ROUTER, number),
             arrived_at=at,
-            aim_at=at + LATENCY_TARGET_SECONDS,
+            latency_target_at=at + LATENCY_TARGET_SECONDS,
         )
         self._push(at, "retry", retry)
 
--- a/tests/core/entry_model.py
+++ b/tests/core/entry_model.py
@@ -14,13 +14,13 @@
 
 import xxhash
 
-from lacewingspar_core.entry_limit import EntryLimit
+from lacewingspar_core.decline_cache import DeclineCache
 from lacewingspar_core.hand_over import (
-    HandOverShare,
+    HandOverController,
     Neighbour,
     NeighbourLoads,
 )
-from lacewingspar_core.recent_declines import RecentDeclines
+from lacewingspar_core.router_concurrency_limit import RouterConcurrencyLimit
 
 TICK_SECONDS = 0.01
 SAMPLE_SECONDS = 0.1
@@ -75,34 +75,34 @@
     """An entry VM that uses the router's admission and hand-over logic."""
 
     name: str
-    limit: EntryLimit = field(
-        default_factory=lambda: EntryLimit(PROCESSOR_SHARE)
+    limit: RouterConcurrencyLimit = field(
+        default_factory=lambda: RouterConcurrencyLimit(PROCESSOR_SHARE)
     )
     backlog_seconds: float = 0.0
     streams: list[_Work] = field(default_factory=list)
-    declines: RecentDeclines = field(
-        default_factory=lambda: RecentDeclines(random.Random(1).uniform)
+    declines: DeclineCache = field(
+        default_factory=lambda: DeclineCache(random.Random(1).uniform)
     )
-    share: HandOverShare = field(default_factory=HandOverShare)
+    share: HandOverController = field(default_factory=HandOverController)
     neighbours: NeighbourLoads = field(default_factory=NeighbourLoads)
 
     def try_accept(
         self, workspace: str, others: Sequence["EntryVm"], now: float
     ) -> bool:
         """Accept a request of a workspace if possible, and return whether."""
-        if not self.limit.begin(workspace):
+        if not self.limit.try_acquire(workspace):
             return False
-        if self.share.take_next():
+        if self.share.should_hand_over_next():
             vm_by_name = {vm.name: vm for vm in others if not vm.share.is_busy}
             neighbour = self.neighbours.choose(
                 [Neighbour(name, "") for name in vm_by_name], now
             )
             if neighbour is not None:
                 neighbour_vm = vm_by_name[neighbour.router_id]
-                if neighbour_vm.limit.begin(workspace):
+                if neighbour_vm.limit.try_acquire(workspace):
                     self._begin_relay(workspace, neighbour_vm, now)
                     return True
-                self.neighbours.skip(neighbour_vm.name, now)
+                self.neighbours.exclude(neighbour_vm.name, now)
         self.backlog_seconds += BEGIN_SECONDS
         self._add_stream(workspace, EVENT_SECONDS, "", now)
         return True
@@ -135,7 +135,7 @@
             work = heapq.heappop(self.streams)
             self.backlog_seconds += work.seconds
             if work.is_last:
-                self.limit.end(work.workspace)
+                self.limit.release(work.workspace)
                 if work.neighbour_vm:
                     self.neighbours.end(work.neighbour_vm)
         done = PROCESSOR_SHARE * TICK_SECONDS
@@ -144,8 +144,8 @@
     def sample(self) -> None:
         """Record the simulated delay of the event loop."""
         delay = self.backlog_seconds / PROCESSOR_SHARE
-        self.limit.note_delay(delay)
-        self.share.note_delay(delay)
+        self.limit.record_loop_delay(delay)
+        self.share.record_loop_delay(delay)
 
 
 class Pool:
@@ -263,7 +263,7 @@
             return False
         if not self._pool.grants(workspace.name, now):
             vm.backlog_seconds += DECLINE_SECONDS
-            vm.declines.note(workspace.name, "", 1.0, now)
+            vm.declines.record(workspace.name, "", 1.0, now)
             return False
         others = [item for item in self.vms if item is not vm]
         if not vm.try_accept(workspace.name, others, now):
--- a/tests/core/test_upstream_trust.py
+++ b/tests/core/test_circuit_breaker.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lacewingspar_core.admission_events import RunOutcome
-from lacewingspar_core.upstream_trust import (
+from lacewingspar_core.circuit_breaker import (
     FIRST_BLOCK_SECONDS,
     MAX_BLOCK_SECONDS,
     CircuitBreaker,
@@ -31,14 +31,14 @@
     breaker = CircuitBreaker()
     now, lengths = 0.0, []
     for _ in range(6):
-        assert breaker.note_unreachable(now)
+        assert breaker.record_unreachable(now)
         lengths.append(breaker.blocked_until - now)
         now = breaker.blocked_until
         assert not breaker.is_blocked(now)
     assert lengths[0] == FIRST_BLOCK_SECONDS
     assert max(lengths) == MAX_BLOCK_SECONDS
     breaker.record(RunOutcome.COMPLETED, now)
-    breaker.note_unreachable(now)
+    breaker.record_unreachable(now)
     assert breaker.blocked_until - now == FIRST_BLOCK_SECONDS
 
 
--- a/tests/core/test_recent_declines.py
+++ b/tests/core/test_decline_cache.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from lacewingspar_core.recent_declines import (
+from lacewingspar_core.decline_cache import (
+    DECLINE_CACHE_SECONDS,
     MAX_RETRY_AFTER_FRACTION,
-    QUIET_SECONDS,
     RETRY_JITTER_FRACTION,
-    RecentDeclines,
+    DeclineCache,
 )
 
 
-def cached_decline() -> RecentDeclines:
-    declines = RecentDeclines(max)
-    declines.note("large", "review", 0.4, 10.0)
+def cached_decline() -> DeclineCache:
+    declines = DeclineCache(max)
+    declines.record("large", "review", 0.4, 10.0)
     return declines
 
 
@@ -20,8 +20,8 @@
     ("workspace", "route", "age_seconds", "is_known"),
     [
         ("large", "review", 0.0, True),
-        ("large", "review", 0.9 * QUIET_SECONDS, True),
-        ("large", "review", QUIET_SECONDS, False),
+        ("large", "review", 0.9 * DECLINE_CACHE_SECONDS, True),
+        ("large", "review", DECLINE_CACHE_SECONDS, False),
         ("large", "chat", 0.0, False),
         ("small", "review", 0.0, False),
     ],
@@ -54,5 +54,5 @@
 def test_expired_declines_are_removed() -> None:
     declines = cached_decline()
     assert not declines.is_empty(10.0)
-    assert declines.is_empty(10.0 + QUIET_SECONDS)
+    assert declines.is_empty(10.0 + DECLINE_CACHE_SECONDS)
     assert declines.is_empty(10.0)
--- a/tests/core/test_prefix_memory.py
+++ b/tests/core/test_engine_prefix_cache.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lacewingspar_core.linear_fit import LinearFit
-from lacewingspar_core.prefix_memory import PrefixCache, PromptPart
+from lacewingspar_core.prefix_cache import PrefixCache, PromptPart
 
 A, B, C = (PromptPart(key, 100) for key in (1, 2, 3))
 
--- a/tests/core/test_hand_over.py
+++ b/tests/core/test_hand_over.py
@@ -6,10 +6,10 @@
     EXCLUSION_SECONDS,
     HIGH_DELAY_SECONDS,
     LOW_DELAY_SECONDS,
-    HandOverShare,
+    HandOverController,
     Neighbour,
     NeighbourLoads,
-    helpful_neighbours,
+    eligible_neighbours,
 )
 from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import MemberRecord, RouterState
@@ -38,32 +38,32 @@
 
 
 def test_router_without_delay_hands_nothing_over() -> None:
-    share = HandOverShare()
+    share = HandOverController()
     for _ in range(50):
-        share.note_delay(IN_TIME)
-    assert not any(share.take_next() for _ in range(100))
+        share.record_loop_delay(IN_TIME)
+    assert not any(share.should_hand_over_next() for _ in range(100))
     assert not share.is_busy
 
 
 def test_late_router_hands_all_over_within_a_second() -> None:
-    share = HandOverShare()
+    share = HandOverController()
     for _ in range(10):
-        share.note_delay(LATE)
-    assert all(share.take_next() for _ in range(100))
+        share.record_loop_delay(LATE)
+    assert all(share.should_hand_over_next() for _ in range(100))
     assert share.is_busy
 
 
 def test_share_falls_slowly_after_an_overload() -> None:
     """Guards against oscillation between handing over all and none."""
-    share = HandOverShare()
+    share = HandOverController()
     for _ in range(10):
-        share.note_delay(LATE)
+        share.record_loop_delay(LATE)
     for _ in range(50):
-        share.note_delay(IN_TIME)
-    assert sum(share.take_next() for _ in range(100)) == 50
+        share.record_loop_delay(IN_TIME)
+    assert sum(share.should_hand_over_next() for _ in range(100)) == 50
     for _ in range(50):
-        share.note_delay(IN_TIME)
-    assert not any(share.take_next() for _ in range(100))
+        share.record_loop_delay(IN_TIME)
+    assert not any(share.should_hand_over_next() for _ in range(100))
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
     others: list[MemberRecord], expected: list[str]
 ) -> None:
     records = {item.life.router_id: item for item in [record("a"), *others]}
-    found = helpful_neighbours("a", "dc", records)
+    found = eligible_neighbours("a", "dc", records)
     assert [item.router_id for item in found] == expected
 
 
@@ -100,20 +100,20 @@
     assert chosen == ["a", "b", "c", "a", "b", "c"]
     loads.end("c")
     assert loads.choose(neighbours, 0.0) == neighbours[2]
-    assert loads.under_way == 5
+    assert loads.in_flight == 5
 
 
 def test_failed_neighbour_is_excluded_for_a_while() -> None:
     loads = NeighbourLoads()
     neighbours = [Neighbour("a", "")]
-    loads.skip("a", 10.0)
+    loads.exclude("a", 10.0)
     assert loads.choose(neighbours, 10.0 + EXCLUSION_SECONDS / 2) is None
     assert loads.choose(neighbours, 10.0 + EXCLUSION_SECONDS) == neighbours[0]
 
 
 def test_requests_at_neighbours_are_bounded() -> None:
     """Guards against a router that runs out of file descriptors."""
-    loads = NeighbourLoads(most=2)
+    loads = NeighbourLoads(max_in_flight=2)
     neighbours = [Neighbour("a", ""), Neighbour("b", "")]
     loads.begin("a")
     loads.begin("b")
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -26,7 +26,7 @@
         for number in range(ENGINES)
     ]
     for request in running:
-        pool.ask(request, 0.0)
+        pool.submit(request, 0.0)
     return pool, running
 
 
@@ -43,7 +43,7 @@
         request = admission(
             100 + number, 0.0, f"w{number}", tokens=LONG_PROMPT_TOKENS
         )
-        pool.ask(request, 0.0)
+        pool.submit(request, 0.0)
     assessed = 0
     assess = EngineLoad.assess
 
@@ -53,7 +53,7 @@
         return assess(load, request)
 
     monkeypatch.setattr(EngineLoad, "assess", counted)
-    decisions: list[AdmissionDecision] = pool.note_first_part(
+    decisions: list[AdmissionDecision] = pool.record_first_chunk(
         running[0].key, 0.01
     )
     assert len(decisions) == 1
--- a/tests/core/test_pool_admission.py
+++ b/tests/core/test_pool_admission.py
@@ -21,12 +21,12 @@
     Queued,
     RunOutcome,
 )
+from lacewingspar_core.circuit_breaker import FIRST_BLOCK_SECONDS
 from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.pool_admission import PoolAdmission
-from lacewingspar_core.prefix_memory import PromptPart
+from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_core.routing import UpstreamService
 from lacewingspar_core.upstream_load import ActiveRun
-from lacewingspar_core.upstream_trust import FIRST_BLOCK_SECONDS
 
 PART = PromptPart(7, 5000)
 LARGE_PROMPT_TOKENS = 60_000
@@ -50,8 +50,8 @@
     used = set()
     for number in range(6):
         request = admission(number, float(number), shared=(PART,))
-        used.add(upstream_of(pool.ask(request, float(number))))
-        pool.note_first_part(request.key, number + 0.1)
+        used.add(upstream_of(pool.submit(request, float(number))))
+        pool.record_first_chunk(request.key, number + 0.1)
         pool.end(request.key, RunOutcome.COMPLETED, number + 0.5)
     assert len(used) == 1
 
@@ -64,7 +64,7 @@
 
     def chosen_upstreams() -> list[str]:
         return [
-            upstream_of(make_pool("a", "b", "c").ask(request, 0.0))
+            upstream_of(make_pool("a", "b", "c").submit(request, 0.0))
             for request in requests
         ]
 
@@ -76,21 +76,23 @@
     pool = make_pool("a")
     assert (
         upstream_of(
-            pool.ask(admission(1, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)
+            pool.submit(admission(1, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)
         )
         == "a"
     )
-    (queued,) = pool.ask(admission(2, 0.0), 0.0)
+    (queued,) = pool.submit(admission(2, 0.0), 0.0)
     assert isinstance(queued, Queued)
-    assert upstream_of(pool.note_first_part(admission(1, 0.0).key, 0.2)) == "a"
+    assert (
+        upstream_of(pool.record_first_chunk(admission(1, 0.0).key, 0.2)) == "a"
+    )
 
 
 def test_repeated_request_returns_the_same_grant() -> None:
     """Guards against a second grant after the first one was lost."""
     pool = make_pool("a")
     request = admission(1, 0.0)
-    assert upstream_of(pool.ask(request, 0.0)) == "a"
-    assert upstream_of(pool.ask(request, 0.1)) == "a"
+    assert upstream_of(pool.submit(request, 0.0)) == "a"
+    assert upstream_of(pool.submit(request, 0.1)) == "a"
     assert pool.running == 1
 
 
@@ -104,7 +106,7 @@
 def test_hopeless_requests_are_declined_at_once(
     change: dict[str, object], reason: str
 ) -> None:
-    (decision,) = make_pool("a").ask(admission(1, 0.0, **change), 0.0)
+    (decision,) = make_pool("a").submit(admission(1, 0.0, **change), 0.0)
     assert isinstance(decision, Declined)
     assert decision.reason == reason
     assert decision.retry_after_seconds > 0
@@ -121,8 +123,8 @@
         request = admission(
             number, now, output_tokens=100, deadline_at=now + 10.0
         )
-        assert upstream_of(pool.ask(request, now)) == "a"
-        pool.note_first_part(request.key, now + 0.1)
+        assert upstream_of(pool.submit(request, now)) == "a"
+        pool.record_first_chunk(request.key, now + 0.1)
         pool.end(request.key, RunOutcome.COMPLETED, now + 2.1)
         now += 3.0
     # The whole response takes 6 s.
@@ -130,7 +132,7 @@
         request = admission(
             int(now), now, output_tokens=300, deadline_at=now + left
         )
-        (decision,) = pool.ask(request, now)
+        (decision,) = pool.submit(request, now)
         assert isinstance(decision, expected)
         now += 3.0
 
@@ -138,11 +140,11 @@
 def test_unreachable_upstream_is_excluded_until_its_block_ends() -> None:
     pool = make_pool("a", "b")
     request = admission(1, 0.0, shared=(PART,))
-    affinity = upstream_of(pool.ask(request, 0.0))
+    affinity = upstream_of(pool.submit(request, 0.0))
     pool.end(request.key, RunOutcome.NOT_RUN, 0.0)
-    pool.note_unreachable(affinity, 0.0)
+    pool.record_unreachable(affinity, 0.0)
     other = admission(2, 0.0, shared=(PART,))
-    assert upstream_of(pool.ask(other, 0.0)) != affinity
+    assert upstream_of(pool.submit(other, 0.0)) != affinity
 
 
 def test_one_request_probes_an_upstream_after_its_block() -> None:
@@ -152,28 +154,28 @@
     """
     pool = make_pool("a", "b")
     request = admission(1, 0.0, shared=(PART,))
-    affinity = upstream_of(pool.ask(request, 0.0))
-    pool.note_unreachable(affinity, 0.0)
+    affinity = upstream_of(pool.submit(request, 0.0))
+    pool.record_unreachable(affinity, 0.0)
     pool.end(request.key, RunOutcome.NOT_RUN, 0.0)
     after = 0.0 + FIRST_BLOCK_SECONDS
     requests = [
         admission(n, after, shared=(PART,), tokens=10) for n in (2, 3, 4)
     ]
-    chosen = [upstream_of(pool.ask(request, after)) for request in requests]
+    chosen = [upstream_of(pool.submit(request, after)) for request in requests]
     assert chosen.count(affinity) == 1
     (trial,) = [
         w for w, u in zip(requests, chosen, strict=True) if u == affinity
     ]
-    pool.note_first_part(trial.key, after + 0.1)
+    pool.record_first_chunk(trial.key, after + 0.1)
     last = admission(5, after + 0.1, shared=(PART,), tokens=10)
-    assert upstream_of(pool.ask(last, after + 0.1)) == affinity
+    assert upstream_of(pool.submit(last, after + 0.1)) == affinity
 
 
 def test_pool_whose_upstreams_are_all_blocked_still_tries() -> None:
     """Guards against an outage that continues after the upstreams recover."""
     pool = make_pool("a")
-    pool.note_unreachable("a", 0.0)
-    assert upstream_of(pool.ask(admission(1, 0.0), 0.0)) == "a"
+    pool.record_unreachable("a", 0.0)
+    assert upstream_of(pool.submit(admission(1, 0.0), 0.0)) == "a"
 
 
 def test_new_owner_adds_reported_runs_and_drops_ended_ones() -> None:
@@ -184,7 +186,7 @@
     )
     pool.reconcile(INGRESS_ROUTER, [run], 0.0)
     assert pool.running == 1
-    (queued,) = pool.ask(admission(2, 0.0), 0.0)
+    (queued,) = pool.submit(admission(2, 0.0), 0.0)
     assert isinstance(queued, Queued)
     decisions = pool.reconcile(INGRESS_ROUTER, [], 2.0)
     assert upstream_of(decisions) == "a"
@@ -192,13 +194,13 @@
 
 def test_requests_of_a_dead_router_are_dropped() -> None:
     pool = make_pool("a")
-    pool.ask(admission(1, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)
-    pool.ask(admission(2, 0.0), 0.0)
-    assert pool.forget_holder(INGRESS_ROUTER, 0.1) == []
+    pool.submit(admission(1, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)
+    pool.submit(admission(2, 0.0), 0.0)
+    assert pool.remove_ingress_router(INGRESS_ROUTER, 0.1) == []
     assert (pool.running, pool.waiting) == (0, 0)
     other = replace(admission(3, 0.1), key=admission(3, 0.1).key)
-    assert upstream_of(pool.ask(other, 0.1)) == "a"
-    pool.forget_holder(RouterInstance("another", 1), 0.2)
+    assert upstream_of(pool.submit(other, 0.1)) == "a"
+    pool.remove_ingress_router(RouterInstance("another", 1), 0.2)
     assert pool.running == 1
 
 
@@ -206,7 +208,7 @@
     pool = PoolAdmission("swap/0")
     service = UpstreamService("swap", None)
     pool.set_upstreams({"a": entry("a", slots=2)}, service, 0.0, 0.0)
-    decisions = [pool.ask(admission(n, 0.0), 0.0) for n in range(3)]
+    decisions = [pool.submit(admission(n, 0.0), 0.0) for n in range(3)]
     kinds = [type(item) for items in decisions for item in items]
     assert kinds == [Granted, Granted, Queued]
 
@@ -324,18 +326,18 @@
     """
     pool = make_pool("a")
     number = 0
-    while pool.ask(admission(number, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)[
+    while pool.submit(admission(number, 0.0, tokens=LARGE_PROMPT_TOKENS), 0.0)[
         0
     ].__class__ is (Granted):
         number += 1
     late = admission(
         1000,
         0.0,
-        aim_at=-1.0 if is_retry else 0.8,
+        latency_target_at=-1.0 if is_retry else 0.8,
         deadline_at=12.0,
-        patience_seconds=3.2,
+        first_chunk_timeout_seconds=3.2,
     )
-    decisions = pool.ask(late, 0.0)
+    decisions = pool.submit(late, 0.0)
     now = 0.0
     while not any(
         isinstance(item, Declined) and item.key == late.key
@@ -343,4 +345,4 @@
     ):
         now += 0.1
         decisions = pool.tick(now)
-        assert now < late.patience_seconds
+        assert now < late.first_chunk_timeout_seconds
--- a/tests/core/test_retry_allowance.py
+++ b/tests/core/test_retry_budget.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from lacewingspar_core.retry_allowance import RetryAllowance, RetryBound
+from lacewingspar_core.retry_budget import RetryBudget, RetryBudgetConfig
 
-BOUND = RetryBound(ratio=0.2, window_seconds=10.0, allowance=54.0)
+BOUND = RetryBudgetConfig(ratio=0.2, window_seconds=10.0, base_retries=54.0)
 
 
 @pytest.mark.parametrize("routers", [1, 7, 10, 87])
@@ -18,17 +18,17 @@
     and every router retries as often as its budget allows.
     """
     generator = random.Random(1)
-    allowances = [RetryAllowance(BOUND) for _ in range(routers)]
+    budgets = [RetryBudget(BOUND) for _ in range(routers)]
     weights = [generator.random() for _ in range(routers)]
     requests: list[float] = []
     retries: list[float] = []
     for step in range(300):
         now = step * 0.1
         for _ in range(round(rate * 0.1)):
-            generator.choices(allowances, weights)[0].note_request(now)
+            generator.choices(budgets, weights)[0].record_request(now)
             requests.append(now)
-        for allowance in allowances:
-            while allowance.take(routers, now):
+        for budget in budgets:
+            while budget.try_spend(routers, now):
                 retries.append(now)
     for end in (10.0, 15.0, 20.0, 29.9):
         in_window = [t for t in retries if end - 10.0 <= t <= end]
@@ -43,8 +43,8 @@
     """Guards against a new full budget at each restart."""
     retries = 0
     for _ in range(2):
-        allowances = [RetryAllowance(BOUND) for _ in range(7)]
-        for allowance in allowances:
-            while allowance.take(7, 1.0):
+        budgets = [RetryBudget(BOUND) for _ in range(7)]
+        for budget in budgets:
+            while budget.try_spend(7, 1.0):
                 retries += 1
     assert retries <= 54
--- a/tests/router/deployed/test_forwarding.py
+++ b/tests/router/deployed/test_forwarding.py
@@ -14,7 +14,7 @@
     until,
 )
 
-from lacewingspar_core import entry_limit, recent_declines
+from lacewingspar_core import decline_cache, router_concurrency_limit
 from lacewingspar_standins.deployed.upstream import SEAL
 
 STREAM = b"".join(
@@ -382,7 +382,7 @@
     Load: 60 calls for 8 slots, then one more on the same route, which is
     refused without the pool, and one on another route, which is forwarded.
     """
-    monkeypatch.setattr(recent_declines, "QUIET_SECONDS", 60.0)
+    monkeypatch.setattr(decline_cache, "DECLINE_CACHE_SECONDS", 60.0)
     routes = [
         route("/write/", "non_idempotent", "plain"),
         route("/other/", "non_idempotent", "plain"),
@@ -408,8 +408,8 @@
     served: Deployment, monkeypatch: pytest.MonkeyPatch, key: str, status: int
 ) -> None:
     """Guards against expensive refusals by an overloaded router."""
-    monkeypatch.setattr(entry_limit, "LEAST_LIMIT", 0)
-    monkeypatch.setattr(entry_limit, "REQUESTS_PER_PROCESSOR", 0)
+    monkeypatch.setattr(router_concurrency_limit, "MIN_LIMIT", 0)
+    monkeypatch.setattr(router_concurrency_limit, "REQUESTS_PER_PROCESSOR", 0)
     caller = await served.add_router()
     answer = await caller.call("/stream/1", key=key, x_attempt_id="id-1")
     assert answer.status == status
--- a/tests/router/deployed/test_hand_over.py
+++ b/tests/router/deployed/test_hand_over.py
@@ -7,21 +7,21 @@
 from tests.router.connections import async_open_connection
 from tests.router.deployed.conftest import Caller, Deployment, until
 
-from lacewingspar_core.hand_over import HandOverShare
+from lacewingspar_core.hand_over import HandOverController
 from lacewingspar_core.messages import RouterState
 from lacewingspar_router.components.forwarding import hand_over
 from lacewingspar_router.components.peers.models import PEERS
 from lacewingspar_standins.deployed.documents import request_bytes
 
 
-class _FullHandOverShare(HandOverShare):
+class _FullHandOverShare(HandOverController):
     """Hand-over share of an overloaded router: all requests."""
 
     def __init__(self) -> None:
         super().__init__()
         self.share = 1.0
 
-    def note_delay(self, seconds: float) -> None:
+    def record_loop_delay(self, seconds: float) -> None:
         del seconds
 
 
@@ -30,7 +30,7 @@
     served: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> Caller:
     """Provide a caller of an overloaded router with an idle neighbour."""
-    monkeypatch.setattr(hand_over, "HandOverShare", _FullHandOverShare)
+    monkeypatch.setattr(hand_over, "HandOverController", _FullHandOverShare)
     caller = await served.add_router("r1")
     monkeypatch.undo()
     await served.add_router("r2")
