--- a/packages/core/src/lacewingspar_core/attempt_rules.py
+++ b/packages/core/src/lacewingspar_core/attempt_rules.py
@@ -10,7 +10,7 @@
     """How an attempt at a request ended."""
 
     # A complete response with a status below 500.
-    ANSWERED = "answered"
+    RESPONDED = "answered"
     # A complete error response of the upstream, which may have run the request.
     UPSTREAM_FAILURE = "upstream_failure"
     # No connection could be opened, so nothing was sent.
@@ -24,7 +24,7 @@
     # The received data is not a valid response to the request.
     INVALID = "invalid"
     # The upstream sent nothing within the time limit.
-    SILENT = "silent"
+    TIMED_OUT = "silent"
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     Attributes:
         outcome: Outcome that is recorded for the upstream.
         may_have_run: Whether the upstream may have run the request.
-        was_sent: Whether the attempt counts towards `sent_limit`.
+        was_sent: Whether the attempt counts towards `max_sent`.
         may_send_again: Whether another upstream may succeed.
     """
 
@@ -45,7 +45,9 @@
 
 
 RULE_BY_RESULT = {
-    AttemptResult.ANSWERED: ResultRule(RunOutcome.COMPLETED, True, True, False),
+    AttemptResult.RESPONDED: ResultRule(
+        RunOutcome.COMPLETED, True, True, False
+    ),
     AttemptResult.UPSTREAM_FAILURE: ResultRule(
         RunOutcome.FAILED, True, True, True
     ),
@@ -58,7 +60,7 @@
     ),
     AttemptResult.BROKEN: ResultRule(RunOutcome.BROKEN, True, True, True),
     AttemptResult.INVALID: ResultRule(RunOutcome.FAILED, True, True, True),
-    AttemptResult.SILENT: ResultRule(RunOutcome.FAILED, True, True, True),
+    AttemptResult.TIMED_OUT: ResultRule(RunOutcome.FAILED, True, True, True),
 }
 # Attempts without a connection do not count as sent, but each takes time.
 MAX_UNREACHABLE_ATTEMPTS = 4
@@ -70,7 +72,7 @@
 
     Attributes:
         may_run_again: Whether the request may safely run more than once.
-        sent_limit: Maximum number of times that the request may be sent.
+        max_sent: Maximum number of times that the request may be sent.
         sent: Number of times that the request was sent.
         unreachable: Number of attempts that found no connection.
         may_have_run: Whether any upstream may have run the request.
@@ -78,13 +80,13 @@
     """
 
     may_run_again: bool
-    sent_limit: int
+    max_sent: int
     sent: int = 0
     unreachable: int = 0
     may_have_run: bool = False
     tried: frozenset[str] = frozenset()
 
-    def note(self, result: AttemptResult, upstream_id: str) -> None:
+    def record(self, result: AttemptResult, upstream_id: str) -> None:
         """Record the result of an attempt."""
         rule = RULE_BY_RESULT[result]
         self.sent += rule.was_sent
@@ -100,6 +102,6 @@
         return (
             RULE_BY_RESULT[result].may_send_again
             and (self.may_run_again or not self.may_have_run)
-            and self.sent < max(1, self.sent_limit)
+            and self.sent < max(1, self.max_sent)
             and self.unreachable < MAX_UNREACHABLE_ATTEMPTS
         )
--- a/packages/core/src/lacewingspar_core/dispatch.py
+++ b/packages/core/src/lacewingspar_core/dispatch.py
@@ -119,9 +119,9 @@
         return actions
 
     @property
-    def uses_by_upstream(self) -> dict[str, int]:
+    def allocated_slots_by_upstream(self) -> dict[str, int]:
         """Return the number of slot allocations by owned upstream."""
-        return self._slots.uses_by_upstream()
+        return self._slots.allocated_slots_by_upstream()
 
     @property
     def overcommitment(self) -> int:
--- a/packages/core/src/lacewingspar_core/hand_over.py
+++ b/packages/core/src/lacewingspar_core/hand_over.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from lacewingspar_core.messages import MemberRecord, RouterState
-from lacewingspar_core.ownership import capable_routers
+from lacewingspar_core.ownership import eligible_owners
 
 # Event loop delay above which the share grows. It is well below the delay at
 # which requests are refused, so none is refused while neighbours have room.
@@ -92,7 +92,7 @@
         records: Live routers by ID.
     """
     owners = set(
-        capable_routers(
+        eligible_owners(
             {router_id: item.capacity for router_id, item in records.items()}
         )
     )
--- a/packages/core/src/lacewingspar_core/ownership.py
+++ b/packages/core/src/lacewingspar_core/ownership.py
@@ -21,7 +21,7 @@
     return max(1, math.ceil(upstream_count / UPSTREAMS_PER_SHARD))
 
 
-def shard_of(upstream_id: str, shards: int) -> int:
+def upstream_shard(upstream_id: str, shards: int) -> int:
     """Return the shard of an upstream, from 0 to `shards` - 1."""
     return max(
         range(shards),
@@ -29,7 +29,9 @@
     )
 
 
-def owner_of(service: str, shard: int, router_ids: Iterable[str]) -> str | None:
+def shard_owner(
+    service: str, shard: int, router_ids: Iterable[str]
+) -> str | None:
     """Return the router that owns a shard, or None without routers."""
     return max(
         router_ids,
@@ -41,7 +43,7 @@
     )
 
 
-def owners_of(
+def assign_shard_owners(
     service: str, shards: int, router_ids: Collection[str]
 ) -> list[str]:
     """Assign the shards of a service evenly to routers.
@@ -57,7 +59,7 @@
         return owners
     unassigned = set(router_ids)
     for shard in range(shards):
-        owner = owner_of(service, shard, unassigned)
+        owner = shard_owner(service, shard, unassigned)
         assert owner is not None
         owners.append(owner)
         unassigned.discard(owner)
@@ -65,7 +67,7 @@
     return owners
 
 
-def weighted_shard_of(key: str, weights: Sequence[float]) -> int:
+def weighted_shard(key: str, weights: Sequence[float]) -> int:
     """Return the shard of a key by weighted rendezvous hashing.
 
     Each shard receives keys in proportion to its weight. A change of one
@@ -81,7 +83,7 @@
     )
 
 
-def capable_routers(capacity_by_router_id: Mapping[str, float]) -> list[str]:
+def eligible_owners(capacity_by_router_id: Mapping[str, float]) -> list[str]:
     """Return the ids of the routers that are large enough to own shards.
 
     An owner makes decisions for all entry VMs in addition to serving its own
@@ -98,7 +100,7 @@
     ]
 
 
-def rank_of(router_id: str, key: str, router_ids: Sequence[str]) -> int:
+def rendezvous_rank(router_id: str, key: str, router_ids: Sequence[str]) -> int:
     """Return the position of a router in the rendezvous order of a key.
 
     Returns:
@@ -195,12 +197,12 @@
     owner_by_shard = {
         shard: owner
         for shard in range(shards)
-        if (owner := owner_of(key, shard, routers)) is not None
+        if (owner := shard_owner(key, shard, routers)) is not None
     }
     return {
         upstream_id: owner_by_shard[shard]
         for upstream_id in upstreams
-        if (shard := shard_of(upstream_id, shards)) in owner_by_shard
+        if (shard := upstream_shard(upstream_id, shards)) in owner_by_shard
     }
 
 
--- a/packages/core/src/lacewingspar_core/placement.py
+++ b/packages/core/src/lacewingspar_core/placement.py
@@ -11,7 +11,7 @@
 from lacewingspar_core.admission_events import Admission, AdmissionKey
 from lacewingspar_core.circuit_breaker import CircuitBreaker
 from lacewingspar_core.directory import UpstreamEntry
-from lacewingspar_core.ownership import owner_of
+from lacewingspar_core.ownership import shard_owner
 from lacewingspar_core.routing import UpstreamService
 from lacewingspar_core.upstream_load import (
     EngineLoad,
@@ -315,7 +315,7 @@
         key = admission.shared_parts[-1].key
         affinity_id = self._affinity_id_by_part_key.get(key)
         if affinity_id is None:
-            affinity_id = owner_of(self._pool, key, self.member_by_id)
+            affinity_id = shard_owner(self._pool, key, self.member_by_id)
             if affinity_id is None:
                 return None
             if len(self._affinity_id_by_part_key) >= MAX_AFFINITY_CACHE_ENTRIES:
--- a/packages/core/src/lacewingspar_core/queueing.py
+++ b/packages/core/src/lacewingspar_core/queueing.py
@@ -173,7 +173,7 @@
         self._rate(workspace).record_grant(now)
         return best
 
-    def expired(self, now: float) -> list[WaitingRequest]:
+    def pop_expired(self, now: float) -> list[WaitingRequest]:
         """Remove and return the requests whose deadline has passed."""
         expired = [
             request
@@ -185,7 +185,7 @@
             self.remove(request)
         return expired
 
-    def note_cost(
+    def record_cost(
         self, workspace: str, request_class: str, used_seconds: float
     ) -> None:
         """Update the mean cost with the slot time of a completed request."""
--- a/packages/core/src/lacewingspar_core/retry.py
+++ b/packages/core/src/lacewingspar_core/retry.py
@@ -29,7 +29,7 @@
         failed_upstreams: Ids of the upstreams at which an attempt failed.
         is_not_run: Whether the upstream certainly did not run the request.
         is_idempotent: Whether the request may safely run more than once.
-        has_answer_started: Whether the caller has received part of the
+        has_response_started: Whether the caller has received part of the
             response, so that no other response may follow.
     """
 
@@ -38,14 +38,14 @@
     failed_upstreams: frozenset[str]
     is_not_run: bool
     is_idempotent: bool
-    has_answer_started: bool
+    has_response_started: bool
 
 
 class GiveUpReason(StrEnum):
     """Why a request is not retried."""
 
     MAY_HAVE_RUN = "may_have_run"
-    ANSWER_STARTED = "answer_started"
+    RESPONSE_STARTED = "answer_started"
     ATTEMPTS_USED = "attempts_used"
     NO_OTHER_UPSTREAM = "no_other_upstream"
     BUDGET_USED = "budget_used"
@@ -80,7 +80,7 @@
         self._random = random
         self._budget_by_workspace: dict[str, float] = {}
 
-    def on_new_request(self, workspace: str) -> None:
+    def credit_new_request(self, workspace: str) -> None:
         """Add to the budget of a workspace for a new request."""
         self._budget_by_workspace[workspace] = min(
             MAX_RETRY_BUDGET, self.budget(workspace) + RETRY_BUDGET_PER_REQUEST
@@ -93,7 +93,7 @@
         """
         return self._budget_by_workspace.get(workspace, MAX_RETRY_BUDGET)
 
-    def keep_workspaces(self, workspaces: Collection[str]) -> None:
+    def retain_workspaces(self, workspaces: Collection[str]) -> None:
         """Remove the budgets of all workspaces that are not listed."""
         self._budget_by_workspace = {
             name: budget
@@ -130,7 +130,7 @@
     ) -> GiveUpReason | None:
         has_other = any(may_use(attempt, name) for name in upstreams)
         checks = (
-            (attempt.has_answer_started, GiveUpReason.ANSWER_STARTED),
+            (attempt.has_response_started, GiveUpReason.RESPONSE_STARTED),
             (
                 not (attempt.is_not_run or attempt.is_idempotent),
                 GiveUpReason.MAY_HAVE_RUN,
--- a/packages/core/src/lacewingspar_core/routing.py
+++ b/packages/core/src/lacewingspar_core/routing.py
@@ -41,15 +41,17 @@
         targets: Services that serve the route.
         timeout_seconds: Maximum time from the arrival of a request to the end
             of its response.
-        aim_seconds: Latency target, from the arrival of a request to the first
-            chunk of its response.
+        latency_target_seconds: Latency target, from the arrival of a request to
+            the first chunk of its response.
         priority: Priority of the requests; 0 is the most urgent.
         attempt_limit: Maximum number of times that one request is sent.
         is_public: Whether callers need no API key.
         is_resumable: Whether another upstream can resume an interrupted stream.
-        pause_aim_seconds: Target for the gap between two events of a stream.
-        patience_seconds: First-chunk timeout of the callers, from the arrival
-            of a request; infinite if callers wait for the whole response.
+        event_gap_target_seconds: Target for the gap between two events of a
+            stream.
+        first_chunk_timeout_seconds: First-chunk timeout of the callers, from
+            the arrival of a request; infinite if callers wait for the whole
+            response.
     """
 
     name: str
@@ -58,12 +60,12 @@
     kind: RouteKind
     targets: tuple[RouteTarget, ...]
     timeout_seconds: float
-    aim_seconds: float
+    latency_target_seconds: float
     priority: int
     attempt_limit: int
     is_public: bool
     is_resumable: bool
-    pause_aim_seconds: float
+    event_gap_target_seconds: float
     first_chunk_timeout_seconds: float = math.inf
 
     @property
--- a/packages/core/src/lacewingspar_core/slots.py
+++ b/packages/core/src/lacewingspar_core/slots.py
@@ -171,7 +171,7 @@
         """Return an iterator over a copy of all allocations."""
         return iter(tuple(self._allocation_by_slot.values()))
 
-    def uses_by_upstream(self) -> dict[str, int]:
+    def allocated_slots_by_upstream(self) -> dict[str, int]:
         """Return the number of allocations of each owned upstream."""
         return {
             upstream_id: len(slots.allocation_by_slot)
--- a/packages/core/src/lacewingspar_core/adaptive_limit.py
+++ b/packages/core/src/lacewingspar_core/upstream_concurrency_limit.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdaptiveLimit:
+class UpstreamConcurrencyLimit:
     """Concurrency limit between 1 and the slots of the service document.
 
     Attributes:
@@ -69,12 +69,14 @@
         return recent > SLOW_LATENCY_FACTOR * baseline
 
 
-def new_limit(maximum: int) -> AdaptiveLimit:
+def new_limit(maximum: int) -> UpstreamConcurrencyLimit:
     """Create the limit of a new upstream, which starts at the maximum."""
-    return AdaptiveLimit(maximum=maximum, value=float(maximum))
+    return UpstreamConcurrencyLimit(maximum=maximum, value=float(maximum))
 
 
-def with_maximum(limit: AdaptiveLimit, maximum: int) -> AdaptiveLimit:
+def with_maximum(
+    limit: UpstreamConcurrencyLimit, maximum: int
+) -> UpstreamConcurrencyLimit:
     """Return the limit with a new maximum from the service document.
 
     A limit at its old maximum moves to the new one at once. A lowered limit
@@ -85,7 +87,9 @@
     return replace(limit, maximum=maximum, value=value)
 
 
-def with_latency(limit: AdaptiveLimit, latency_seconds: float) -> AdaptiveLimit:
+def with_latency(
+    limit: UpstreamConcurrencyLimit, latency_seconds: float
+) -> UpstreamConcurrencyLimit:
     """Return the limit after a response.
 
     Args:
@@ -93,7 +97,7 @@
         latency_seconds: Time from sending the request to the response head.
     """
     # Runs for every response, and the constructor is faster than `replace`.
-    return AdaptiveLimit(
+    return UpstreamConcurrencyLimit(
         maximum=limit.maximum,
         value=limit.value,
         lowered_at=limit.lowered_at,
@@ -109,12 +113,12 @@
 
 
 def with_report(
-    limit: AdaptiveLimit,
+    limit: UpstreamConcurrencyLimit,
     running: int,
     waiting: int,
     measured_at: float,
     now: float,
-) -> AdaptiveLimit:
+) -> UpstreamConcurrencyLimit:
     """Return the limit after a load report.
 
     Args:
@@ -136,7 +140,7 @@
 
 
 def _is_cooling_down(
-    limit: AdaptiveLimit, admitted: int, measured_at: float
+    limit: UpstreamConcurrencyLimit, admitted: int, measured_at: float
 ) -> bool:
     """Return whether the last decrease may not have taken effect yet."""
     if measured_at <= limit.lowered_at:
@@ -145,7 +149,7 @@
     return is_recent and admitted > limit.slots
 
 
-def _is_congested(limit: AdaptiveLimit, waiting: int) -> bool:
+def _is_congested(limit: UpstreamConcurrencyLimit, waiting: int) -> bool:
     tolerated = max(
         MINIMUM_TOLERATED_WAITING_REQUESTS,
         limit.value * TOLERATED_WAITING_FRACTION,
--- a/packages/core/src/lacewingspar_core/upstream_health.py
+++ b/packages/core/src/lacewingspar_core/upstream_health.py
@@ -4,15 +4,15 @@
 from random import Random
 from typing import ClassVar
 
-from lacewingspar_core.adaptive_limit import (
+from lacewingspar_core.chart import load_chart
+from lacewingspar_core.upstream_concurrency_limit import (
     REPORT_TIMEOUT_SECONDS,
-    AdaptiveLimit,
+    UpstreamConcurrencyLimit,
     new_limit,
     with_latency,
     with_maximum,
     with_report,
 )
-from lacewingspar_core.chart import load_chart
 
 CHART = load_chart("upstream")
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerOk:
+class ResponseCompleted:
     """A response was received completely.
 
     Attributes:
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenAnswer:
+class ResponseBroken:
     """A response was truncated or stalled, as after a crash."""
 
     NAME: ClassVar[str] = "broken_answer"
@@ -121,9 +121,9 @@
 
 
 HealthEvent = (
-    AnswerOk
+    ResponseCompleted
     | ConnectFailure
-    | BrokenAnswer
+    | ResponseBroken
     | LoadReported
     | ReportsStopped
     | VmLeaving
@@ -150,7 +150,7 @@
     """
 
     state: str
-    limit: AdaptiveLimit
+    limit: UpstreamConcurrencyLimit
     last_report_at: float | None = None
     probe_delay_seconds: float = 0.0
     next_probe_at: float | None = None
@@ -211,7 +211,7 @@
 ) -> UpstreamHealth:
     """Return the health with updated measurements and an unchanged state."""
     match event:
-        case AnswerOk(latency_seconds):
+        case ResponseCompleted(latency_seconds):
             limit = with_latency(health.limit, latency_seconds)
             # Only responses to requests prove a recovery, so that the delay
             # keeps growing for an upstream that responds to probes but fails
--- a/packages/router/src/lacewingspar_router/components/admission/models.py
+++ b/packages/router/src/lacewingspar_router/components/admission/models.py
@@ -25,8 +25,8 @@
         arrived_at: Arrival time of the request.
         aim_at: Latency target: time at which the first chunk should arrive.
         deadline_at: Time by which the response must be complete.
-        patience_seconds: Time after arrival at which the caller's first-chunk
-            timeout expires.
+        first_chunk_timeout_seconds: Time after arrival at which the caller's
+            first-chunk timeout expires.
         identity: Hash that stays the same when the caller repeats the
             request.
     """
--- a/packages/router/src/lacewingspar_router/components/admission/pools.py
+++ b/packages/router/src/lacewingspar_router/components/admission/pools.py
@@ -4,11 +4,11 @@
 
 from lacewingspar_core.directory import UpstreamEntry
 from lacewingspar_core.ownership import (
-    capable_routers,
-    owners_of,
+    assign_shard_owners,
+    eligible_owners,
     shard_count,
-    shard_of,
-    weighted_shard_of,
+    upstream_shard,
+    weighted_shard,
 )
 from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_router.application import Application
@@ -37,7 +37,7 @@
     return {
         upstream_id: entry
         for upstream_id, entry in usable.items()
-        if shards == 1 or shard_of(upstream_id, shards) == pool.shard
+        if shards == 1 or upstream_shard(upstream_id, shards) == pool.shard
     }
 
 
@@ -70,7 +70,7 @@
         if len(weights) == 1:
             return Pool(service, 0)
         key = shared_parts[-1].key if shared_parts else number
-        return Pool(service, weighted_shard_of(str(key), weights))
+        return Pool(service, weighted_shard(str(key), weights))
 
     def _weights(self, service: str) -> list[int]:
         """Return the number of upstreams of each shard."""
@@ -80,7 +80,7 @@
             shards = shard_count(len(usable))
             weights = [0] * shards
             for upstream_id in usable:
-                weights[shard_of(upstream_id, shards)] += 1
+                weights[upstream_shard(upstream_id, shards)] += 1
             self._weights_by_service[service] = weights
         return weights
 
@@ -154,8 +154,8 @@
         }
         # Runs may remain in a pool whose shard no longer exists.
         shards = max(pool.shard + 1, self._pool_selector.shards(pool.service))
-        candidates = capable_routers(capacity_by_router_id)
-        owners = owners_of(pool.service, shards, candidates)
+        candidates = eligible_owners(capacity_by_router_id)
+        owners = assign_shard_owners(pool.service, shards, candidates)
         return owners[pool.shard] if owners else self._own_id
 
     def _clear_owners(self, now: float) -> None:
--- a/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
@@ -65,7 +65,7 @@
         """Take over the documents in force."""
         documents = self._configuration.documents_by_service
         self._index = AccessIndex(documents)
-        self._calls.retries.keep_workspaces(
+        self._calls.retries.retain_workspaces(
             {
                 workspace.name
                 for document in documents.values()
--- a/packages/router/src/lacewingspar_router/components/caller_api/retrying.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/retrying.py
@@ -56,12 +56,12 @@
 
     def begin(self, request: CallerRequest) -> Attempts:
         """Credit the budget of a workspace for a new request."""
-        self._policy.on_new_request(request.workspace.name)
+        self._policy.credit_new_request(request.workspace.name)
         return Attempts()
 
-    def keep_workspaces(self, names: Collection[str]) -> None:
+    def retain_workspaces(self, names: Collection[str]) -> None:
         """Forget the budgets of all other workspaces."""
-        self._policy.keep_workspaces(names)
+        self._policy.retain_workspaces(names)
 
     async def async_wait(
         self, request: CallerRequest, attempts: Attempts, error: UpstreamError
@@ -136,5 +136,5 @@
         is_idempotent=(
             is_retried_if_not_run and repeatability is Repeatability.IDEMPOTENT
         ),
-        has_answer_started=False,
+        has_response_started=False,
     )
--- a/packages/router/src/lacewingspar_router/components/configuration/store.py
+++ b/packages/router/src/lacewingspar_router/components/configuration/store.py
@@ -26,7 +26,7 @@
 )
 from lacewingspar_core.mergepatch import make_patch
 from lacewingspar_core.messages import LogRecords, LogRecordsRequest
-from lacewingspar_core.ownership import rank_of
+from lacewingspar_core.ownership import rendezvous_rank
 from lacewingspar_core.platform import STREAM_CONFIGURATION
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.configuration.const import (
@@ -301,7 +301,10 @@
                 continue
             else:
                 candidates = everywhere
-            if rank_of(own_id, router_id, candidates) < SENDERS_PER_PEER:
+            if (
+                rendezvous_rank(own_id, router_id, candidates)
+                < SENDERS_PER_PEER
+            ):
                 self._send_records(router_id, member.applied_offset)
 
     def _send_records(self, router_id: str, from_offset: int) -> None:
@@ -327,7 +330,7 @@
             snapshot_age_seconds=time.time() - snapshot_time_ms / 1000,
             retention_seconds=self._retention_seconds,
             bytes_since_snapshot=self._replica.bytes_since_snapshot,
-            rank=rank_of(
+            rank=rendezvous_rank(
                 self._app.instance.router_id, RANK_KEY_SNAPSHOT, router_ids
             ),
         )
--- a/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
@@ -151,7 +151,7 @@
                     connection, head, const.MAX_BUFFERED_RESPONSE_BYTES
                 )
         except TimeoutError:
-            return AttemptEnd(AttemptResult.SILENT, "no response in time")
+            return AttemptEnd(AttemptResult.TIMED_OUT, "no response in time")
         except ConnectionBrokenError as error:
             return AttemptEnd(AttemptResult.BROKEN, str(error))
         except (InvalidAnswerError, EventSizeError) as error:
@@ -192,7 +192,7 @@
             )
         self._start_response(head)
         caller_response.exchange.finish()
-        return AttemptEnd(AttemptResult.ANSWERED)
+        return AttemptEnd(AttemptResult.RESPONDED)
 
     def relay_chunk(self, head: ResponseHead, part: bytes) -> bool:
         """Relay the events that a chunk of a stream completes.
@@ -249,7 +249,7 @@
                 AttemptResult.UPSTREAM_FAILURE, f"status {status}", response
             )
         self._on_first_chunk()
-        return AttemptEnd(AttemptResult.ANSWERED, "", response)
+        return AttemptEnd(AttemptResult.RESPONDED, "", response)
 
     def _is_stream(self, head: ResponseHead, facts: AnswerFacts) -> bool:
         return (
@@ -266,7 +266,8 @@
             return None
         return max(
             const.MIN_RESPONSE_TIMEOUT_SECONDS,
-            const.RESPONSE_TIMEOUT_TARGET_FACTOR * self._call.route.aim_seconds,
+            const.RESPONSE_TIMEOUT_TARGET_FACTOR
+            * self._call.route.latency_target_seconds,
         )
 
     def _event_gap_timeout(self) -> float | None:
@@ -275,7 +276,8 @@
             return None
         return max(
             const.MIN_EVENT_GAP_TIMEOUT_SECONDS,
-            const.EVENT_GAP_TIMEOUT_FACTOR * self._call.route.pause_aim_seconds,
+            const.EVENT_GAP_TIMEOUT_FACTOR
+            * self._call.route.event_gap_target_seconds,
         )
 
 
@@ -300,5 +302,5 @@
 
 
 _UNUSABLE_CONNECTION_RESULTS = frozenset(
-    {AttemptResult.BROKEN, AttemptResult.INVALID, AttemptResult.SILENT}
+    {AttemptResult.BROKEN, AttemptResult.INVALID, AttemptResult.TIMED_OUT}
 )
--- a/packages/router/src/lacewingspar_router/components/forwarding/handler.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/handler.py
@@ -229,7 +229,7 @@
             end = await self._async_attempt(
                 progress, grant, request_fingerprint
             )
-            if end.result is AttemptResult.ANSWERED:
+            if end.result is AttemptResult.RESPONDED:
                 if end.response is not None:
                     self._send_response(
                         progress.caller_response.exchange, end.response
@@ -285,12 +285,12 @@
                     progress, grant, upstream, request_fingerprint
                 )
             history.may_have_run = previously_may_have_run
-            history.note(end.result, grant.upstream_id)
+            history.record(end.result, grant.upstream_id)
             outcome = RULE_BY_RESULT[end.result].outcome
             is_unreachable = end.result is AttemptResult.UNREACHABLE
         finally:
             self._admission.end(grant, outcome, is_unreachable=is_unreachable)
-        if end.result is not AttemptResult.ANSWERED:
+        if end.result is not AttemptResult.RESPONDED:
             self._recorder.record_failed_attempt(progress, end)
         return end
 
@@ -326,12 +326,12 @@
             is_broken = end.result is AttemptResult.BROKEN
         finally:
             self._crash_guard.end(run, upstream, is_broken=is_broken)
-        if end.result is AttemptResult.ANSWERED:
+        if end.result is AttemptResult.RESPONDED:
             self._crash_guard.record_success(run)
         return end
 
     def _can_switch_upstream(self, history: AttemptHistory) -> bool:
-        return history.may_run_again and history.sent + 1 < history.sent_limit
+        return history.may_run_again and history.sent + 1 < history.max_sent
 
     def _may_try_again(self, progress: CallProgress, end: AttemptEnd) -> bool:
         call, history = progress.call, progress.history
@@ -365,7 +365,8 @@
             output_tokens=fields.output_tokens,
             priority=call.route.priority,
             arrived_at=call.arrived_at,
-            latency_target_at=call.arrived_at + call.route.aim_seconds,
+            latency_target_at=call.arrived_at
+            + call.route.latency_target_seconds,
             deadline_at=call.deadline_at,
             first_chunk_timeout_seconds=call.route.first_chunk_timeout_seconds,
             identity=call.identity,
@@ -384,7 +385,7 @@
         return replace(
             requirements,
             arrived_at=now,
-            latency_target_at=now + call.route.aim_seconds,
+            latency_target_at=now + call.route.latency_target_seconds,
         )
 
     def _send_response(
--- a/packages/router/src/lacewingspar_router/components/routing/reader_role.py
+++ b/packages/router/src/lacewingspar_router/components/routing/reader_role.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from lacewingspar_core.ownership import rank_of
+from lacewingspar_core.ownership import rendezvous_rank
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.peers.models import PEERS
 from lacewingspar_router.components.routing import const
@@ -81,5 +81,5 @@
             if record.data_centre == data_centre and record.state.is_serving
         ]
         key = f"readers/{data_centre}"
-        rank = rank_of(own_id, key, serving)
+        rank = rendezvous_rank(own_id, key, serving)
         self.is_reader = rank < const.READERS_PER_DATA_CENTRE
--- a/packages/router/src/lacewingspar_router/components/scheduler/holder.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/holder.py
@@ -138,7 +138,7 @@
             return
         now = self._app.now()
         if outcome is SlotOutcome.COMPLETED:
-            self._queue.note_cost(
+            self._queue.record_cost(
                 grant.workspace, grant.request_class, now - grant.bound_at
             )
             if self._rebind(use, now):
@@ -194,7 +194,7 @@
 
     def refuse_expired(self) -> None:
         """Refuse the requests whose deadline has passed."""
-        expired = self._queue.expired(self._app.now())
+        expired = self._queue.pop_expired(self._app.now())
         for request in expired:
             self._refuse(
                 request, Refusal("deadline_passed", MIN_RETRY_AFTER_SECONDS)
--- a/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
@@ -203,7 +203,7 @@
 
     def _owned_uses(self, service: str) -> Mapping[str, int]:
         owner = self._owner_by_service.get(service)
-        return owner.uses_by_upstream if owner else {}
+        return owner.allocated_slots_by_upstream if owner else {}
 
     def _reconfigure_service(
         self, service: str, document: ServiceDocument
--- a/packages/router/src/lacewingspar_router/components/upstreams/health.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/health.py
@@ -17,8 +17,6 @@
     STATE_FAILING,
     STATE_HEALTHY,
     STATE_UNKNOWN,
-    AnswerOk,
-    BrokenAnswer,
     ConnectFailure,
     HealthEvent,
     LoadReported,
@@ -26,6 +24,8 @@
     ProbeSucceeded,
     Removed,
     ReportsStopped,
+    ResponseBroken,
+    ResponseCompleted,
     UpstreamHealth,
     VmLeaving,
     VmLive,
@@ -171,7 +171,7 @@
         """
         watched = self._watched_by_key.get((service, upstream_id))
         if watched is not None:
-            self._apply(watched, AnswerOk(latency_seconds))
+            self._apply(watched, ResponseCompleted(latency_seconds))
 
     def on_failure(
         self, service: str, upstream_id: str, error: UpstreamError
@@ -184,7 +184,7 @@
             case UpstreamConnectError():
                 self._apply(watched, ConnectFailure())
             case UpstreamBrokenError() | UpstreamMismatchError():
-                self._apply(watched, BrokenAnswer())
+                self._apply(watched, ResponseBroken())
             case _:
                 return
 
--- a/packages/router/src/lacewingspar_router/platform/manifest.py
+++ b/packages/router/src/lacewingspar_router/platform/manifest.py
@@ -147,12 +147,12 @@
         kind=kind,
         targets=targets or (RouteTarget(item.service, 1.0),),
         timeout_seconds=item.timeout_ms / 1000,
-        aim_seconds=item.target_latency_ms / 1000,
+        latency_target_seconds=item.target_latency_ms / 1000,
         priority=item.priority,
         attempt_limit=item.max_attempts,
         is_public=item.public,
         is_resumable=item.resumable,
-        pause_aim_seconds=item.gap_aim_ms / 1000,
+        event_gap_target_seconds=item.gap_aim_ms / 1000,
         first_chunk_timeout_seconds=(
             _first_chunk_timeout(item) if kind is RouteKind.STREAM else math.inf
         ),
--- a/tests/core/test_attempt_rules.py
+++ b/tests/core/test_attempt_rules.py
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(
     ("results", "may_run_again", "limit", "expected", "may_have_run"),
     [
-        ([Result.ANSWERED], True, 3, False, True),
+        ([Result.RESPONDED], True, 3, False, True),
         ([Result.NOT_RUN], False, 2, True, False),
         ([Result.NOT_RUN], False, 1, False, False),
         ([Result.WRONG_UPSTREAM], False, 2, True, False),
@@ -21,7 +21,7 @@
         ([Result.BROKEN], True, 2, True, True),
         ([Result.BROKEN] * 2, True, 2, False, True),
         ([Result.INVALID], False, 3, False, True),
-        ([Result.SILENT], True, 2, True, True),
+        ([Result.TIMED_OUT], True, 2, True, True),
         ([Result.UPSTREAM_FAILURE], True, 2, True, True),
         ([Result.UPSTREAM_FAILURE], False, 2, False, True),
         ([Result.BROKEN, Result.NOT_RUN], True, 2, False, True),
@@ -40,6 +40,6 @@
     """
     history = AttemptHistory(may_run_again, limit)
     for number, result in enumerate(results):
-        history.note(result, f"u{number}")
+        history.record(result, f"u{number}")
     assert history.may_try_again(results[-1]) is expected
     assert history.may_have_run is may_have_run
--- a/tests/core/test_queueing.py
+++ b/tests/core/test_queueing.py
@@ -113,7 +113,7 @@
     queue = make_queue()
     queue.add(request(1, deadline=5.0), 0.0)
     queue.add(request(2, deadline=9.0), 0.0)
-    assert [item.request_id for item in queue.expired(5.0)] == ["r1"]
+    assert [item.request_id for item in queue.pop_expired(5.0)] == ["r1"]
     assert len(queue) == 1
     late = queue.add(request(3, deadline=5.0), 5.0)
     assert late is not None
--- a/tests/core/test_retry.py
+++ b/tests/core/test_retry.py
@@ -16,7 +16,7 @@
         ({}, None),
         ({"is_not_run": False, "is_idempotent": True}, None),
         ({"is_not_run": False}, "may_have_run"),
-        ({"has_answer_started": True}, "answer_started"),
+        ({"has_response_started": True}, "answer_started"),
         ({"sent": 3}, "attempts_used"),
         ({"failed_upstreams": frozenset("ab")}, "no_other_upstream"),
     ],
@@ -39,10 +39,10 @@
     assert _retries(policy) == 3
     for requests, retries in ((10, 1), (1000, 3)):
         for _ in range(requests):
-            policy.on_new_request("w")
+            policy.credit_new_request("w")
         assert _retries(policy) == retries
     assert policy.budget("other") == 3.0
-    policy.keep_workspaces({"other"})
+    policy.retain_workspaces({"other"})
     assert policy.budget("w") == 3.0
 
 
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -22,12 +22,12 @@
         kind=RouteKind.IDEMPOTENT,
         targets=targets or (RouteTarget("s", 1.0),),
         timeout_seconds=1.0,
-        aim_seconds=0.1,
+        latency_target_seconds=0.1,
         priority=0,
         attempt_limit=2,
         is_public=False,
         is_resumable=False,
-        pause_aim_seconds=0.3,
+        event_gap_target_seconds=0.3,
     )
 
 
--- a/tests/core/test_adaptive_limit.py
+++ b/tests/core/test_upstream_concurrency_limit.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from lacewingspar_core import adaptive_limit
-from lacewingspar_core.adaptive_limit import new_limit, with_report
+from lacewingspar_core import upstream_concurrency_limit
+from lacewingspar_core.upstream_concurrency_limit import new_limit, with_report
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,9 @@
 ) -> None:
     """Slow responses without waiting requests must not lower the limit."""
     latencies = [0.1, *[60.0] * slow_responses]
-    limit = reduce(adaptive_limit.with_latency, latencies, new_limit(32))
+    limit = reduce(
+        upstream_concurrency_limit.with_latency, latencies, new_limit(32)
+    )
     assert with_report(limit, 31, waiting, 1.0, 1.0).slots == expected
 
 
@@ -64,4 +66,7 @@
 )
 def test_document_changes(value: float, maximum: int, expected: int) -> None:
     limit = replace(new_limit(32), value=float(value))
-    assert adaptive_limit.with_maximum(limit, maximum).slots == expected
+    assert (
+        upstream_concurrency_limit.with_maximum(limit, maximum).slots
+        == expected
+    )
--- a/tests/core/test_upstream_health.py
+++ b/tests/core/test_upstream_health.py
@@ -9,7 +9,7 @@
 IDLE = uh.LoadReported(running=1, waiting=0, age_seconds=0.0)
 BUSY = uh.LoadReported(running=8, waiting=8, age_seconds=0.0)
 STALE = uh.LoadReported(running=8, waiting=8, age_seconds=5.0)
-RESPONSE = uh.AnswerOk(0.1)
+RESPONSE = uh.ResponseCompleted(0.1)
 
 
 def _history(*events: uh.HealthEvent) -> list[uh.UpstreamHealth]:
@@ -28,8 +28,8 @@
         ([IDLE, BUSY], "healthy", 8),
         ([IDLE, STALE], "healthy", 10),
         ([IDLE, uh.ConnectFailure()], "failing", 0),
-        ([uh.BrokenAnswer(), RESPONSE, IDLE], "failing", 0),
-        ([uh.BrokenAnswer(), uh.ProbeSucceeded()], "healthy", 10),
+        ([uh.ResponseBroken(), RESPONSE, IDLE], "failing", 0),
+        ([uh.ResponseBroken(), uh.ProbeSucceeded()], "healthy", 10),
         ([IDLE, uh.VmLeaving(), uh.ProbeSucceeded(), IDLE], "leaving", 0),
         ([uh.VmLeaving(), uh.VmLive()], "unknown", 10),
         ([IDLE, uh.Removed(), uh.VmLive(), IDLE], "gone", 0),
@@ -61,7 +61,7 @@
 ) -> None:
     """An upstream that responds only to probes must not flap."""
     start = [uh.ConnectFailure(), *[uh.ProbeFailed()] * 3, uh.ProbeSucceeded()]
-    last = _history(*start, *responses, uh.BrokenAnswer())[-1]
+    last = _history(*start, *responses, uh.ResponseBroken())[-1]
     assert last.probe_delay_seconds == delay
 
 
--- a/tests/router/deployed/test_reader_role.py
+++ b/tests/router/deployed/test_reader_role.py
@@ -9,7 +9,7 @@
 from tests.router.deployed.test_routing_state import entry
 
 from lacewingspar_core.messages import RouterState
-from lacewingspar_core.ownership import rank_of
+from lacewingspar_core.ownership import rendezvous_rank
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.peers.models import PEERS
 from lacewingspar_router.components.routing import const
@@ -41,7 +41,7 @@
     return [
         app
         for app in apps
-        if rank_of(app.instance.router_id, "readers/dc-a", ids)
+        if rendezvous_rank(app.instance.router_id, "readers/dc-a", ids)
         < const.READERS_PER_DATA_CENTRE
     ]
 
