--- a/packages/router/src/lacewingspar_router/components/admission/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/admission/__init__.py
@@ -4,7 +4,7 @@
 
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.admission import const
-from lacewingspar_router.components.admission.holder import FleetAdmission
+from lacewingspar_router.components.admission.ingress import FleetAdmission
 from lacewingspar_router.components.admission.models import ADMISSION
 
 
--- a/packages/router/src/lacewingspar_router/components/admission/const.py
+++ b/packages/router/src/lacewingspar_router/components/admission/const.py
@@ -2,7 +2,7 @@
 
 # An owner responds to each request within a few milliseconds. One that has not
 # responded after this time is down, frozen or unreachable.
-ASK_TIMEOUT_SECONDS = 0.12
+OWNER_RESPONSE_TIMEOUT_SECONDS = 0.12
 # Time after which a single request tries an unresponsive owner again.
 UNRESPONSIVE_OWNER_RETRY_SECONDS = 1.0
 # Interval at which the ingress router asks the owner again about a queued
--- a/packages/router/src/lacewingspar_router/components/admission/holder.py
+++ b/packages/router/src/lacewingspar_router/components/admission/ingress.py
@@ -248,7 +248,7 @@
     def _response_timeout(self, pending: _PendingRequest) -> float | None:
         if pending.owner == self._app.instance.router_id:
             return None
-        return const.ASK_TIMEOUT_SECONDS
+        return const.OWNER_RESPONSE_TIMEOUT_SECONDS
 
     def _send_request(self, pending: _PendingRequest) -> None:
         admission = pending.admission
--- a/packages/router/src/lacewingspar_router/components/admission/models.py
+++ b/packages/router/src/lacewingspar_router/components/admission/models.py
@@ -23,10 +23,10 @@
         output_tokens: Expected number of tokens of the response.
         priority: Priority of the route; 0 is the most urgent.
         arrived_at: Arrival time of the request.
-        aim_at: Latency target: time at which the first chunk should arrive.
+        latency_target_at: Time at which the first chunk should arrive.
         deadline_at: Time by which the response must be complete.
-        first_chunk_timeout_seconds: Time after arrival at which the caller's
-            first-chunk timeout expires.
+        first_chunk_timeout_seconds: Time after arrival at which the caller
+            gives up if it has not received the first chunk.
         identity: Hash that stays the same when the caller repeats the
             request.
     """
--- a/packages/router/src/lacewingspar_router/components/admission/pools.py
+++ b/packages/router/src/lacewingspar_router/components/admission/pools.py
@@ -115,7 +115,7 @@
         """
         chosen = self.current_owner(pool)
         if chosen in self._unresponsive_until:
-            self.mark_unresponsive(chosen, const.ASK_TIMEOUT_SECONDS)
+            self.mark_unresponsive(chosen, const.OWNER_RESPONSE_TIMEOUT_SECONDS)
         return chosen
 
     def current_owner(self, pool: Pool) -> str:
--- a/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
@@ -10,8 +10,8 @@
 from lacewingspar_core.routing import RouteKind
 from lacewingspar_router.components.forwarding import const
 from lacewingspar_router.components.forwarding.models import (
-    AnswerFacts,
     Call,
+    ResponseInfo,
     WireFormat,
 )
 from lacewingspar_router.http1.client import async_read_body, async_read_head
@@ -130,7 +130,7 @@
 
     def _request(self, fetch_from: str) -> bytes:
         resume_after = self._caller_response.events.last_id
-        return self._wire_format.upstream_request(
+        return self._wire_format.encode_upstream_request(
             self._call,
             self._upstream,
             self._call.deadline_at - self._now(),
@@ -143,8 +143,8 @@
     ) -> AttemptEnd:
         try:
             async with asyncio.timeout(self._response_timeout()):
-                head, facts = await self._async_read_matching_head(connection)
-            if self._is_stream(head, facts):
+                head, info = await self._async_read_matching_head(connection)
+            if self._is_stream(head, info):
                 return await self._async_relay_stream(connection, head)
             async with asyncio.timeout(self._response_timeout()):
                 response = await async_read_body(
@@ -156,22 +156,22 @@
             return AttemptEnd(AttemptResult.BROKEN, str(error))
         except (InvalidAnswerError, EventSizeError) as error:
             return AttemptEnd(AttemptResult.INVALID, str(error))
-        return self._classify_response(response, facts)
+        return self._classify_response(response, info)
 
     async def _async_read_matching_head(
         self, connection: ClientConnection
-    ) -> tuple[ResponseHead, AnswerFacts]:
+    ) -> tuple[ResponseHead, ResponseInfo]:
         """Return the response head for this request.
 
         Late responses to earlier requests on the connection are skipped.
         """
         for _ in range(const.MAX_STALE_RESPONSES + 1):
             head = await async_read_head(connection)
-            facts = self._wire_format.read_answer(
+            info = self._wire_format.parse_response_head(
                 self._call, self._upstream, head
             )
-            if facts.is_own:
-                return head, facts
+            if info.is_for_request:
+                return head, info
             await async_read_body(
                 connection, head, const.MAX_BUFFERED_RESPONSE_BYTES
             )
@@ -220,22 +220,22 @@
         if caller_response.exchange.is_started:
             return
         caller_response.first_chunk_at = self._now()
-        headers = self._wire_format.answer_headers(head.headers)
+        headers = self._wire_format.response_headers(head.headers)
         caller_response.exchange.start(head.status, headers, length=None)
 
     def _classify_response(
-        self, response: Response, facts: AnswerFacts
+        self, response: Response, info: ResponseInfo
     ) -> AttemptEnd:
         """Map a complete response to the end of the attempt."""
         status = response.status
-        if facts.is_wrong_upstream:
+        if info.is_wrong_upstream:
             return AttemptEnd(
                 AttemptResult.WRONG_UPSTREAM,
                 "address belongs to another upstream",
             )
-        if facts.is_not_run:
+        if info.is_declared_not_run:
             return AttemptEnd(AttemptResult.NOT_RUN, f"status {status}")
-        if facts.is_encoded or not facts.is_genuine:
+        if info.is_encoded or not info.is_sealed:
             return AttemptEnd(
                 AttemptResult.INVALID, "response is encoded or not sealed"
             )
@@ -251,12 +251,12 @@
         self._on_first_chunk()
         return AttemptEnd(AttemptResult.RESPONDED, "", response)
 
-    def _is_stream(self, head: ResponseHead, facts: AnswerFacts) -> bool:
+    def _is_stream(self, head: ResponseHead, info: ResponseInfo) -> bool:
         return (
             self._call.route.kind is RouteKind.STREAM
-            and facts.is_event_stream
-            and facts.is_genuine
-            and not facts.is_encoded
+            and info.is_event_stream
+            and info.is_sealed
+            and not info.is_encoded
             and head.status < 300
         )
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/crash_guard.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/crash_guard.py
@@ -61,7 +61,7 @@
         request = call.request
         return fingerprint(
             call.service,
-            f"{call.workspace} {call.fields.host}{request.target}",
+            f"{call.workspace} {call.metadata.host}{request.target}",
             request.body,
         )
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
@@ -100,7 +100,7 @@
         Returns:
             The neighbour, or None if this router forwards the request itself.
         """
-        if call.fields.handed_over_after_seconds is not None:
+        if call.metadata.handed_over_after_seconds is not None:
             return None
         if not self.share.should_hand_over_next():
             return None
@@ -185,7 +185,9 @@
         try:
             waited = self._app.now() - call.arrived_at
             connection.send(
-                self._wire_format.router_request(call.request, waited)
+                self._wire_format.encode_handed_over_request(
+                    call.request, waited
+                )
             )
             head = await async_read_head(connection)
             refused = await self._async_relay_response(
@@ -196,7 +198,7 @@
             self._neighbour_loads.skip(neighbour.router_id, self._app.now())
             _LOGGER.warning(
                 "router failed after a request was handed over to it",
-                request_id=call.fields.request_id,
+                request_id=call.metadata.request_id,
                 neighbour=neighbour.router_id,
                 is_started=exchange.is_started,
                 reason=str(error),
@@ -248,7 +250,7 @@
         self._telemetry.count("hand_overs_total", outcome=outcome)
         _LOGGER.info(
             "request handed over",
-            request_id=call.fields.request_id,
+            request_id=call.metadata.request_id,
             workspace=call.workspace,
             neighbour=neighbour.router_id,
             share=self.share.share,
--- a/packages/router/src/lacewingspar_router/components/forwarding/handler.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/handler.py
@@ -28,14 +28,14 @@
     CallerResponse,
 )
 from lacewingspar_router.components.forwarding.crash_guard import CrashGuard
-from lacewingspar_router.components.forwarding.entry import LoadShedder
 from lacewingspar_router.components.forwarding.hand_over import HandOver
+from lacewingspar_router.components.forwarding.load_shedding import LoadShedder
 from lacewingspar_router.components.forwarding.models import (
     WIRE_FORMAT,
     Call,
-    CallerFields,
+    RequestMetadata,
 )
-from lacewingspar_router.components.forwarding.records import (
+from lacewingspar_router.components.forwarding.request_recorder import (
     CallProgress,
     RequestRecorder,
 )
@@ -85,9 +85,9 @@
         request = exchange.request
         request_id = workspace = ""
         try:
-            fields = self._wire_format.read_fields(request)
-            request_id = fields.request_id
-            call = self._accept(request, fields)
+            metadata = self._wire_format.parse_metadata(request)
+            request_id = metadata.request_id
+            call = self._accept(request, metadata)
             workspace = call.workspace
             self.load_shedder.begin(workspace)
         except RequestRefusedError as error:
@@ -110,14 +110,14 @@
             return await self.hand_over.async_run(exchange, call, neighbour)
         except RequestRefusedError as error:
             self._refuse(
-                exchange, error, call.fields.request_id, call.workspace, None
+                exchange, error, call.metadata.request_id, call.workspace, None
             )
             return True
 
     async def _async_serve(self, exchange: ServerExchange, call: Call) -> None:
         """Forward an accepted request to upstreams and record its end."""
-        fields = call.fields
-        events = EventSequence(last_id=fields.last_event_id)
+        metadata = call.metadata
+        events = EventSequence(last_id=metadata.last_event_id)
         progress = CallProgress(
             call,
             CallerResponse(exchange, events),
@@ -133,7 +133,7 @@
                     call, error.code, error.retry_after_seconds
                 )
             self._refuse(
-                exchange, error, fields.request_id, call.workspace, progress
+                exchange, error, metadata.request_id, call.workspace, progress
             )
         finally:
             self._recorder.record_end(progress, outcome)
@@ -157,7 +157,7 @@
         for pool in self._pool_by_address.values():
             pool.close()
 
-    def _accept(self, request: HttpRequest, fields: CallerFields) -> Call:
+    def _accept(self, request: HttpRequest, metadata: RequestMetadata) -> Call:
         """Check a request against the active configuration.
 
         Raises:
@@ -170,23 +170,23 @@
             raise refusals.stopping()
         if not request.target.startswith("/"):
             raise refusals.bad_target()
-        route = self._routing.table.match(fields.host, request.path)
+        route = self._routing.table.match(metadata.host, request.path)
         if route is None:
             raise refusals.unknown_route()
-        workspace = configuration.workspace_by_key.get(fields.key, "")
+        workspace = configuration.workspace_by_key.get(metadata.key, "")
         if not workspace and not route.is_public:
             raise refusals.unknown_key()
         arrived_at = request.received_at
-        if fields.handed_over_after_seconds is not None:
-            arrived_at -= fields.handed_over_after_seconds
+        if metadata.handed_over_after_seconds is not None:
+            arrived_at -= metadata.handed_over_after_seconds
         limit = route.timeout_seconds
-        if fields.time_left_seconds is not None:
-            limit = min(limit, fields.time_left_seconds)
+        if metadata.time_budget_seconds is not None:
+            limit = min(limit, metadata.time_budget_seconds)
         return Call(
             request=request,
-            fields=fields,
+            metadata=metadata,
             route=route,
-            service=choose_target(route, fields.request_id),
+            service=choose_target(route, metadata.request_id),
             workspace=workspace,
             arrived_at=arrived_at,
             deadline_at=arrived_at + limit,
@@ -348,21 +348,21 @@
         self._telemetry.count("retries_denied_total", service=call.service)
         _LOGGER.info(
             "retry denied: fleet-wide retry budget exhausted",
-            request_id=call.fields.request_id,
+            request_id=call.metadata.request_id,
             service=call.service,
             routers=routers,
         )
         return False
 
     def _requirements(self, call: Call) -> RequestRequirements:
-        fields = call.fields
+        metadata = call.metadata
         return RequestRequirements(
-            request_id=fields.request_id,
+            request_id=metadata.request_id,
             service=call.service,
             workspace=call.workspace,
-            shared_parts=fields.shared_parts,
-            own_tokens=fields.own_tokens,
-            output_tokens=fields.output_tokens,
+            shared_parts=metadata.shared_parts,
+            own_tokens=metadata.own_tokens,
+            output_tokens=metadata.output_tokens,
             priority=call.route.priority,
             arrived_at=call.arrived_at,
             latency_target_at=call.arrived_at
@@ -391,7 +391,9 @@
     def _send_response(
         self, exchange: ServerExchange, response: Response
     ) -> None:
-        headers: RawHeaders = self._wire_format.answer_headers(response.headers)
+        headers: RawHeaders = self._wire_format.response_headers(
+            response.headers
+        )
         exchange.answer(response.status, headers, response.body)
 
     def _refuse(
@@ -405,7 +407,7 @@
         """Send the refusal of a request, unless its response has started."""
         self._recorder.record_refusal(error, request_id, workspace, progress)
         if not exchange.is_started:
-            response = self._wire_format.refusal(error, request_id)
+            response = self._wire_format.refusal_response(error, request_id)
             exchange.answer(response.status, response.headers, response.body)
 
     def _retry_allowance(self, service: str) -> RetryBudget:
--- a/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
@@ -8,8 +8,8 @@
 
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.forwarding import const
-from lacewingspar_router.components.forwarding.entry import LoadShedder
 from lacewingspar_router.components.forwarding.hand_over import HandOver
+from lacewingspar_router.components.forwarding.load_shedding import LoadShedder
 from lacewingspar_router.components.telemetry.models import TELEMETRY
 from lacewingspar_router.http1.server import Http1Server
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/entry.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/load_shedding.py
@@ -10,7 +10,9 @@
     Call,
     CallerIdentity,
 )
-from lacewingspar_router.components.forwarding.records import RequestRecorder
+from lacewingspar_router.components.forwarding.request_recorder import (
+    RequestRecorder,
+)
 from lacewingspar_router.components.routing.models import ROUTING
 from lacewingspar_router.components.telemetry.models import TELEMETRY
 from lacewingspar_router.errors import RequestRefusedError
@@ -57,7 +59,7 @@
         )
         if not may_refuse or configuration is None:
             return None
-        identity = self._wire_format.read_identity(request)
+        identity = self._wire_format.parse_identity(request)
         workspace = configuration.workspace_by_key.get(identity.key)
         if workspace is None:
             return None
@@ -68,7 +70,7 @@
         self._recorder.record_refusal(
             error, identity.request_id, workspace, None
         )
-        return self._wire_format.refusal(error, identity.request_id)
+        return self._wire_format.refusal_response(error, identity.request_id)
 
     def begin(self, workspace: str) -> None:
         """Count a request as in flight until `limit.end` is called.
@@ -118,9 +120,9 @@
         if route is None:
             return None
         remaining_seconds = route.timeout_seconds
-        if identity.time_left_seconds is not None:
+        if identity.time_budget_seconds is not None:
             remaining_seconds = min(
-                remaining_seconds, identity.time_left_seconds
+                remaining_seconds, identity.time_budget_seconds
             )
         return self._declines.retry_after(
             workspace, route.name, remaining_seconds, self._app.now()
--- a/packages/router/src/lacewingspar_router/components/forwarding/models.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/models.py
@@ -26,24 +26,24 @@
         request_id: Identifier of the request, or "".
         host: Host name in lower case, without a port.
         key: API key of the caller, or "".
-        time_left_seconds: Time that the caller waits, or None.
+        time_budget_seconds: Time that the caller waits, or None.
     """
 
     request_id: str
     host: str
     key: str
-    time_left_seconds: float | None
+    time_budget_seconds: float | None
 
 
 @dataclass(frozen=True, slots=True)
-class CallerFields:
+class RequestMetadata:
     """Values parsed from the headers of a request.
 
     Attributes:
         request_id: Identifier of the request, or "".
         host: Host name in lower case, without a port.
         key: API key of the caller, or "".
-        time_left_seconds: Time that the caller waits, or None.
+        time_budget_seconds: Time that the caller waits, or None.
         shared_parts: Parts of the prompt that other requests may share.
         own_tokens: Number of prompt tokens outside the shared parts.
         output_tokens: Expected number of tokens of the response, or 0 if
@@ -57,7 +57,7 @@
     request_id: str
     host: str
     key: str
-    time_left_seconds: float | None
+    time_budget_seconds: float | None
     shared_parts: tuple[PromptPart, ...]
     own_tokens: int
     output_tokens: int
@@ -73,7 +73,7 @@
 
     Attributes:
         request: The request as received.
-        fields: Values parsed from its headers.
+        metadata: Values parsed from its headers.
         route: Route that matched the request.
         service: Service that serves the request.
         workspace: Workspace of the caller, or "" without one.
@@ -83,7 +83,7 @@
     """
 
     request: HttpRequest
-    fields: CallerFields
+    metadata: RequestMetadata
     route: Route
     service: str
     workspace: str
@@ -94,30 +94,30 @@
     @property
     def identity(self) -> int:
         """Return a hash that stays the same when the request is repeated."""
-        digest = xxhash.xxh64(self.fields.host.encode())
+        digest = xxhash.xxh64(self.metadata.host.encode())
         digest.update(self.request.target.encode())
         digest.update(self.request.body)
         return digest.intdigest()
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class ResponseInfo:
     """Properties of a response, taken from its head.
 
     Attributes:
-        is_own: Whether it is the response to this request.
-        is_genuine: Whether it has the upstream's seal, which proves that the
+        is_for_request: Whether it is the response to this request.
+        is_sealed: Whether it has the upstream's seal, which proves that the
             upstream sent it.
-        is_not_run: Whether the upstream declares that it did not run the
-            request.
+        is_declared_not_run: Whether the upstream declares that it did not run
+            the request.
         is_wrong_upstream: Whether the address belongs to another upstream.
         is_event_stream: Whether the body is an event stream.
         is_encoded: Whether the body has a content encoding.
     """
 
-    is_own: bool
-    is_genuine: bool
-    is_not_run: bool
+    is_for_request: bool
+    is_sealed: bool
+    is_declared_not_run: bool
     is_wrong_upstream: bool
     is_event_stream: bool
     is_encoded: bool
@@ -126,17 +126,17 @@
 class WireFormat(Protocol):
     """Headers and messages exchanged with callers, upstreams and routers."""
 
-    def read_identity(self, request: HttpRequest) -> CallerIdentity:
+    def parse_identity(self, request: HttpRequest) -> CallerIdentity:
         """Parse only the identity, which is faster than all headers."""
 
-    def read_fields(self, request: HttpRequest) -> CallerFields:
+    def parse_metadata(self, request: HttpRequest) -> RequestMetadata:
         """Parse the headers of a request.
 
         Raises:
             RequestRefusedError: A required header is missing or invalid.
         """
 
-    def router_request(
+    def encode_handed_over_request(
         self, request: HttpRequest, waited_seconds: float
     ) -> bytes:
         """Encode a request for the hand-over to another router.
@@ -146,11 +146,11 @@
             waited_seconds: Time since the request arrived.
         """
 
-    def upstream_request(
+    def encode_upstream_request(
         self,
         call: Call,
         upstream: UpstreamEntry,
-        time_left_seconds: float,
+        time_budget_seconds: float,
         resume_after: int | None,
         fetch_from: str,
     ) -> bytes:
@@ -159,22 +159,24 @@
         Args:
             call: The request.
             upstream: Upstream to send it to.
-            time_left_seconds: Time until the deadline.
+            time_budget_seconds: Time until the deadline.
             resume_after: ID of the last event that the caller received, or
                 None.
             fetch_from: `host:port` of the upstream from which to copy the
                 shared parts of the prompt, or "".
         """
 
-    def read_answer(
+    def parse_response_head(
         self, call: Call, upstream: UpstreamEntry, head: ResponseHead
-    ) -> AnswerFacts:
+    ) -> ResponseInfo:
         """Parse the head of a response."""
 
-    def answer_headers(self, headers: RawHeaders) -> RawHeaders:
+    def response_headers(self, headers: RawHeaders) -> RawHeaders:
         """Return the headers of an upstream's response to relay."""
 
-    def refusal(self, error: RequestRefusedError, request_id: str) -> Response:
+    def refusal_response(
+        self, error: RequestRefusedError, request_id: str
+    ) -> Response:
         """Return the response to a request that was refused or has failed."""
 
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/records.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/request_recorder.py
@@ -90,7 +90,7 @@
         )
         _LOGGER.warning(
             "attempt failed",
-            request_id=progress.call.fields.request_id,
+            request_id=progress.call.metadata.request_id,
             upstream=progress.upstream_id,
             result=end.result,
             reason=end.reason,
@@ -116,7 +116,7 @@
             )
         _LOGGER.info(
             "request ended",
-            request_id=call.fields.request_id,
+            request_id=call.metadata.request_id,
             outcome=outcome,
             route=call.route.name,
             service=service,
--- a/packages/router/src/lacewingspar_router/platform/wire_format.py
+++ b/packages/router/src/lacewingspar_router/platform/wire_format.py
@@ -3,10 +3,10 @@
 from lacewingspar_core.directory import UpstreamEntry
 from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_router.components.forwarding.models import (
-    AnswerFacts,
     Call,
-    CallerFields,
     CallerIdentity,
+    RequestMetadata,
+    ResponseInfo,
 )
 from lacewingspar_router.errors import RequestRefusedError
 from lacewingspar_router.http1.messages import (
@@ -27,17 +27,17 @@
 class PlatformWireFormat:
     """Implements the wire format of the platform."""
 
-    def read_identity(self, request: HttpRequest) -> CallerIdentity:
+    def parse_identity(self, request: HttpRequest) -> CallerIdentity:
         """Return the caller's identity; cheaper than `read_fields`."""
         values = request.value_by_header
         return CallerIdentity(
             request_id=_header_text(values, names.HEADER_REQUEST_ID),
             host=_host(values),
             key=_key(values),
-            time_left_seconds=_time_left(values),
+            time_budget_seconds=_time_left(values),
         )
 
-    def read_fields(self, request: HttpRequest) -> CallerFields:
+    def parse_metadata(self, request: HttpRequest) -> RequestMetadata:
         """Return the fields of the request headers.
 
         Raises:
@@ -46,11 +46,11 @@
         values = request.value_by_header
         shared, own = _prompt(values)
         output = _output_tokens(values)
-        return CallerFields(
+        return RequestMetadata(
             request_id=_header_text(values, names.HEADER_REQUEST_ID),
             host=_host(values),
             key=_key(values),
-            time_left_seconds=_time_left(values),
+            time_budget_seconds=_time_left(values),
             shared_parts=shared,
             own_tokens=own,
             output_tokens=output,
@@ -58,7 +58,7 @@
             handed_over_after_seconds=_handed_over_after(values),
         )
 
-    def router_request(
+    def encode_handed_over_request(
         self, request: HttpRequest, waited_seconds: float
     ) -> bytes:
         """Encode a request that is handed over to another router."""
@@ -69,18 +69,18 @@
         first_line = f"{request.method} {request.target} HTTP/1.1"
         return encode_head(first_line, headers) + request.body
 
-    def upstream_request(
+    def encode_upstream_request(
         self,
         call: Call,
         upstream: UpstreamEntry,
-        time_left_seconds: float,
+        time_budget_seconds: float,
         resume_after: int | None,
         fetch_from: str,
     ) -> bytes:
         """Encode a request to an upstream."""
         request = call.request
         headers = end_to_end_headers(request.headers, names.ROUTER_HEADERS)
-        time_left_ms = max(1, int(time_left_seconds * 1000))
+        time_left_ms = max(1, int(time_budget_seconds * 1000))
         headers += [
             (names.HEADER_TIME_LEFT_MS, b"%d" % time_left_ms),
             (names.HEADER_EXPECTED_UPSTREAM, upstream.upstream_id.encode()),
@@ -96,25 +96,25 @@
         first_line = f"{request.method} {request.target} HTTP/1.1"
         return encode_head(first_line, headers) + request.body
 
-    def read_answer(
+    def parse_response_head(
         self, call: Call, upstream: UpstreamEntry, head: ResponseHead
-    ) -> AnswerFacts:
+    ) -> ResponseInfo:
         """Interpret the status and headers of a response."""
         del upstream
         values = dict(head.headers)
         response_request_id = values.get(names.HEADER_REQUEST_ID)
-        is_not_run = names.HEADER_NOT_RUN in values
+        is_declared_not_run = names.HEADER_NOT_RUN in values
         is_misdirected = head.status == _STATUS_MISDIRECTED
         content_type = values.get(b"content-type", b"")
-        return AnswerFacts(
-            is_own=(
+        return ResponseInfo(
+            is_for_request=(
                 response_request_id is None
                 or response_request_id.decode("latin-1")
-                == call.fields.request_id
+                == call.metadata.request_id
             ),
-            is_genuine=names.HEADER_SERVER_SEAL in values
+            is_sealed=names.HEADER_SERVER_SEAL in values
             and response_request_id is not None,
-            is_not_run=is_not_run,
+            is_declared_not_run=is_declared_not_run,
             is_wrong_upstream=is_misdirected,
             is_event_stream=content_type.startswith(names.EVENT_STREAM),
             is_encoded=(
@@ -123,11 +123,13 @@
             ),
         )
 
-    def answer_headers(self, headers: RawHeaders) -> RawHeaders:
+    def response_headers(self, headers: RawHeaders) -> RawHeaders:
         """Return the upstream's response headers to pass on to the caller."""
         return end_to_end_headers(headers, frozenset({b"content-length"}))
 
-    def refusal(self, error: RequestRefusedError, request_id: str) -> Response:
+    def refusal_response(
+        self, error: RequestRefusedError, request_id: str
+    ) -> Response:
         """Return the response to a request that was refused or failed."""
         headers: RawHeaders = [(b"content-type", b"text/plain")]
         if request_id:
--- a/tests/router/deployed/test_shared_state.py
+++ b/tests/router/deployed/test_shared_state.py
@@ -158,7 +158,7 @@
     Load: two routers get 20 calls each for one upstream with 8 slots.
     """
     # On a busy test machine the slot owner may answer later than in production.
-    monkeypatch.setattr(const, "ASK_TIMEOUT_SECONDS", 30.0)
+    monkeypatch.setattr(const, "OWNER_RESPONSE_TIMEOUT_SECONDS", 30.0)
     deployment.publish(manifest())
     upstream = await deployment.add_upstream("p1", "plain", pause_seconds=0.2)
     callers = [await deployment.add_router(name) for name in ("r1", "r2")]
