--- a/packages/router/src/lacewingspar_router/components/forwarding/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/__init__.py
@@ -30,7 +30,7 @@
     callers = Http1Server(
         handler.async_handle, app.now, handler.load_shedder.refuse_early
     )
-    callers.most_connections = round(
+    callers.max_connections = round(
         const.CALLER_DESCRIPTOR_FRACTION * settings.platform.descriptor_limit
     )
     monitoring_handler = MonitoringHandler(app)
@@ -56,7 +56,7 @@
         handler.close()
 
     async def async_cut() -> int:
-        count = callers.busy_connections
+        count = callers.busy_connection_count
         callers.close()
         return count
 
@@ -102,9 +102,9 @@
     handler.accepts_requests = False
     callers.close_idle()
     _LOGGER.info(
-        "waiting for requests in flight", count=callers.busy_connections
+        "waiting for requests in flight", count=callers.busy_connection_count
     )
-    while callers.busy_connections:  # noqa: ASYNC110
+    while callers.busy_connection_count:  # noqa: ASYNC110
         await asyncio.sleep(0.05)
 
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
@@ -20,7 +20,7 @@
 from lacewingspar_router.http1.errors import (
     ConnectionBrokenError,
     ConnectionFailedError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
 from lacewingspar_router.http1.exchange import ServerExchange
 from lacewingspar_router.http1.messages import Response, ResponseHead
@@ -111,7 +111,7 @@
             else const.NON_REPEATABLE_MAX_IDLE_SECONDS
         )
         try:
-            connection = await self._connection_pool.async_take(
+            connection = await self._connection_pool.async_acquire(
                 max_idle_seconds
             )
         except ConnectionFailedError as error:
@@ -124,7 +124,7 @@
             return end
         finally:
             if is_reusable:
-                self._connection_pool.give_back(connection)
+                self._connection_pool.release(connection)
             else:
                 connection.abort()
 
@@ -154,7 +154,7 @@
             return AttemptEnd(AttemptResult.TIMED_OUT, "no response in time")
         except ConnectionBrokenError as error:
             return AttemptEnd(AttemptResult.BROKEN, str(error))
-        except (InvalidAnswerError, EventSizeError) as error:
+        except (InvalidResponseError, EventSizeError) as error:
             return AttemptEnd(AttemptResult.INVALID, str(error))
         return self._classify_response(response, info)
 
@@ -175,7 +175,7 @@
             await async_read_body(
                 connection, head, const.MAX_BUFFERED_RESPONSE_BYTES
             )
-        raise InvalidAnswerError("received only responses to other requests")
+        raise InvalidResponseError("received only responses to other requests")
 
     async def _async_relay_stream(
         self, connection: ClientConnection, head: ResponseHead
@@ -183,7 +183,7 @@
         """Relay events as they arrive."""
         caller_response = self._caller_response
         sink = _EventSink(self, head)
-        await connection.async_pass_body(
+        await connection.async_stream_body(
             sink, self._response_timeout(), self._event_gap_timeout()
         )
         if caller_response.events.has_partial_event:
--- a/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
@@ -23,7 +23,7 @@
 from lacewingspar_router.http1.errors import (
     ConnectionBrokenError,
     ConnectionFailedError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
 from lacewingspar_router.http1.exchange import ServerExchange
 from lacewingspar_router.http1.messages import Response, ResponseHead
@@ -155,7 +155,7 @@
             neighbour.address for neighbour in self._known_neighbours()
         }
         for address, pool in list(self._pool_by_address.items()):
-            pool.drop_stale()
+            pool.close_expired()
             if pool.is_empty and address not in addresses:
                 del self._pool_by_address[address]
 
@@ -175,7 +175,7 @@
             )
             self._pool_by_address[neighbour.address] = pool
         try:
-            connection = await pool.async_take(
+            connection = await pool.async_acquire(
                 const.NON_REPEATABLE_MAX_IDLE_SECONDS
             )
         except ConnectionFailedError:
@@ -194,7 +194,7 @@
                 exchange, call, connection, head
             )
             is_reusable = True
-        except (ConnectionBrokenError, InvalidAnswerError) as error:
+        except (ConnectionBrokenError, InvalidResponseError) as error:
             self._neighbour_loads.skip(neighbour.router_id, self._app.now())
             _LOGGER.warning(
                 "router failed after a request was handed over to it",
@@ -206,7 +206,7 @@
             return HandOverOutcome.BROKEN
         finally:
             if is_reusable:
-                pool.give_back(connection)
+                pool.release(connection)
             else:
                 connection.abort()
         if refused is not None:
@@ -230,10 +230,10 @@
             if refusals.is_router_refusal(response.status, response.body):
                 return response
             self._record_neighbour_decline(call, response)
-            exchange.answer(response.status, headers, response.body)
+            exchange.send_response(response.status, headers, response.body)
             return None
         exchange.start(head.status, headers, length=None)
-        await connection.async_pass_body(exchange, None, None)
+        await connection.async_stream_body(exchange, None, None)
         exchange.finish()
         return None
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/handler.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/handler.py
@@ -146,7 +146,7 @@
             for entry in self._routing.directory.entry_by_id.values()
         }
         for address, pool in list(self._pool_by_address.items()):
-            pool.drop_stale()
+            pool.close_expired()
             if address not in addresses:
                 pool.close()
                 del self._pool_by_address[address]
@@ -394,7 +394,7 @@
         headers: RawHeaders = self._wire_format.response_headers(
             response.headers
         )
-        exchange.answer(response.status, headers, response.body)
+        exchange.send_response(response.status, headers, response.body)
 
     def _refuse(
         self,
@@ -408,7 +408,9 @@
         self._recorder.record_refusal(error, request_id, workspace, progress)
         if not exchange.is_started:
             response = self._wire_format.refusal_response(error, request_id)
-            exchange.answer(response.status, response.headers, response.body)
+            exchange.send_response(
+                response.status, response.headers, response.body
+            )
 
     def _retry_allowance(self, service: str) -> RetryBudget:
         allowance = self._allowance_by_service.get(service)
--- a/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
@@ -82,7 +82,7 @@
     def _log_load(self) -> None:
         """Log the load since the last call."""
         now, processor_seconds = self._now(), _processor_seconds()
-        accepted = self._callers.accepted_connections
+        accepted = self._callers.accepted_connection_count
         connections = len(self._callers.connections)
         descriptors = _open_descriptors()
         self._telemetry.gauge("caller_connections", connections)
--- a/packages/router/src/lacewingspar_router/components/forwarding/readiness.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/readiness.py
@@ -22,13 +22,15 @@
         """Handle one request."""
         match exchange.request.path:
             case "/readyz":
-                exchange.answer(200 if self._is_ready() else 503, [], b"")
+                exchange.send_response(
+                    200 if self._is_ready() else 503, [], b""
+                )
             case "/metrics":
                 content_type, body = self._telemetry.render()
                 headers = [(b"content-type", content_type.encode())]
-                exchange.answer(200, headers, body)
+                exchange.send_response(200, headers, body)
             case _:
-                exchange.answer(404, [], b"")
+                exchange.send_response(404, [], b"")
 
     def _is_ready(self) -> bool:
         return (
--- a/packages/router/src/lacewingspar_router/components/routing/follower.py
+++ b/packages/router/src/lacewingspar_router/components/routing/follower.py
@@ -95,7 +95,7 @@
     async def _async_read_once(self) -> None:
         if self._offset is None:
             listing = await self._topic.async_read_newest()
-            self._offset = listing.end
+            self._offset = listing.end_offset
             self._on_listing(listing)
             return
         await self._role.async_wait_until_read_due()
--- a/packages/router/src/lacewingspar_router/components/routing/models.py
+++ b/packages/router/src/lacewingspar_router/components/routing/models.py
@@ -32,11 +32,11 @@
 
     Attributes:
         record_by_key: Newest record of each key.
-        end: Offset from which to continue reading.
+        end_offset: Offset from which to continue reading.
     """
 
     record_by_key: Mapping[str, KeyedRecord]
-    end: int
+    end_offset: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/router/src/lacewingspar_router/components/routing/state.py
+++ b/packages/router/src/lacewingspar_router/components/routing/state.py
@@ -167,9 +167,9 @@
         self._change_offset_by_upstream = {
             key: record.offset for key, record in listing.record_by_key.items()
         }
-        self._changed_offset = max(self._changed_offset, listing.end)
-        self._listing_offset = max(self._listing_offset, listing.end)
-        self._mark_confirmed(listing.end)
+        self._changed_offset = max(self._changed_offset, listing.end_offset)
+        self._listing_offset = max(self._listing_offset, listing.end_offset)
+        self._mark_confirmed(listing.end_offset)
         if origin == ORIGIN_LOG:
             self._mark_available()
         self._publish_changes(
--- a/packages/router/src/lacewingspar_router/http1/caller_connection.py
+++ b/packages/router/src/lacewingspar_router/http1/caller_connection.py
@@ -253,7 +253,7 @@
         self, request: HttpRequest, early_response: Response
     ) -> None:
         """Send an early response without starting a task."""
-        ServerExchange(self, request).answer(
+        ServerExchange(self, request).send_response(
             early_response.status, early_response.headers, early_response.body
         )
         if self.must_close:
@@ -277,7 +277,7 @@
         except Exception:
             _LOGGER.exception("request handler failed")
             if not exchange.is_started:
-                exchange.answer(500, [], b"")
+                exchange.send_response(500, [], b"")
         finally:
             self._task = None
         if self._is_closing:
--- a/packages/router/src/lacewingspar_router/http1/client.py
+++ b/packages/router/src/lacewingspar_router/http1/client.py
@@ -5,7 +5,7 @@
 from lacewingspar_router.http1.client_connection import ClientConnection
 from lacewingspar_router.http1.errors import (
     ConnectionFailedError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
 from lacewingspar_router.http1.messages import (
     Response,
@@ -49,7 +49,7 @@
 
     Raises:
         ConnectionBrokenError: The connection ended before the response did.
-        InvalidAnswerError: The response is too large or not HTTP.
+        InvalidResponseError: The response is too large or not HTTP.
     """
     connection.send(data)
     head = await async_read_head(connection)
@@ -61,11 +61,11 @@
 
     Raises:
         ConnectionBrokenError: The connection ended before the head.
-        InvalidAnswerError: The received data is not a response head.
+        InvalidResponseError: The received data is not a response head.
     """
-    head = await connection.next_event()
+    head = await connection.async_next_event()
     if not isinstance(head, ResponseHead):
-        raise InvalidAnswerError("response does not start with a head")
+        raise InvalidResponseError("response does not start with a head")
     return head
 
 
@@ -76,16 +76,18 @@
 
     Raises:
         ConnectionBrokenError: The connection ended before the response did.
-        InvalidAnswerError: The body is too large, or another response starts
+        InvalidResponseError: The body is too large, or another response starts
             before its end.
     """
     body = bytearray()
     while True:
-        event = await connection.next_event()
+        event = await connection.async_next_event()
         if isinstance(event, ResponseEnd):
             return Response(head.status, head.headers, bytes(body))
         if isinstance(event, ResponseHead):
-            raise InvalidAnswerError("another response started before the end")
+            raise InvalidResponseError(
+                "another response started before the end"
+            )
         body += event
         if len(body) > max_body_bytes:
-            raise InvalidAnswerError("response body is too large")
+            raise InvalidResponseError("response body is too large")
--- a/packages/router/src/lacewingspar_router/http1/client_connection.py
+++ b/packages/router/src/lacewingspar_router/http1/client_connection.py
@@ -11,7 +11,7 @@
 from lacewingspar_core.event_stream import EventSizeError
 from lacewingspar_router.http1.errors import (
     ConnectionBrokenError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
 from lacewingspar_router.http1.messages import ResponseEnd, ResponseHead
 from lacewingspar_router.http_headers import RawHeaders
@@ -185,7 +185,9 @@
         self._is_busy = True
         self._transport.write(data)
 
-    async def next_event(self, limit_seconds: float | None = None) -> _Event:
+    async def async_next_event(
+        self, limit_seconds: float | None = None
+    ) -> _Event:
         """Return the next event of a response.
 
         Args:
@@ -193,7 +195,7 @@
 
         Raises:
             ConnectionBrokenError: The connection ended.
-            InvalidAnswerError: The received data is not a valid response.
+            InvalidResponseError: The received data is not a valid response.
             TimeoutError: No event arrived in time.
         """
         while True:
@@ -204,7 +206,7 @@
                 raise self._error
             await self._async_wait(limit_seconds)
 
-    async def async_pass_body(
+    async def async_stream_body(
         self,
         sink: BodySink,
         first_chunk_timeout_seconds: float | None,
@@ -225,7 +227,7 @@
         Raises:
             ConnectionBrokenError: The connection ended.
             EventSizeError: Raised by the sink.
-            InvalidAnswerError: The received data is not a valid response, or
+            InvalidResponseError: The received data is not a valid response, or
                 another response starts before the end.
             TimeoutError: No chunk arrived in time.
         """
@@ -238,7 +240,7 @@
             if isinstance(event, ResponseEnd):
                 return
             if isinstance(event, ResponseHead):
-                raise InvalidAnswerError(
+                raise InvalidResponseError(
                     "another response started before the end"
                 )
             if event is not None:
@@ -319,7 +321,7 @@
             self._resume_reading()
         return event
 
-    def finish(self) -> bool:
+    def complete_exchange(self) -> bool:
         """Complete an exchange, and abort the connection if not reusable.
 
         Returns:
@@ -396,7 +398,7 @@
 
     def _reject(self, reason: str) -> None:
         """Fail the exchange and close the connection."""
-        self._set_error(InvalidAnswerError(reason))
+        self._set_error(InvalidResponseError(reason))
         self.abort()
 
     def _set_error(self, error: Exception) -> None:
--- a/packages/router/src/lacewingspar_router/http1/connection_pool.py
+++ b/packages/router/src/lacewingspar_router/http1/connection_pool.py
@@ -20,7 +20,7 @@
         self._max_idle_connections = max_idle_connections
         self._idle: list[ClientConnection] = []
 
-    async def async_take(
+    async def async_acquire(
         self, idle_seconds: float | None = None
     ) -> ClientConnection:
         """Return an idle connection or a new one.
@@ -39,9 +39,9 @@
             connection.abort()
         return await async_connect(self.address)
 
-    def give_back(self, connection: ClientConnection) -> None:
+    def release(self, connection: ClientConnection) -> None:
         """Return a connection to the pool, or close it if not reusable."""
-        if not connection.finish():
+        if not connection.complete_exchange():
             return
         if (
             self._max_idle_connections is not None
@@ -56,7 +56,7 @@
         """Return whether the pool has no idle connections."""
         return not self._idle
 
-    def drop_stale(self) -> None:
+    def close_expired(self) -> None:
         """Close the idle connections that can no longer be reused."""
         stale = [item for item in self._idle if not item.is_reusable(None)]
         for connection in stale:
--- a/packages/router/src/lacewingspar_router/http1/errors.py
+++ b/packages/router/src/lacewingspar_router/http1/errors.py
@@ -11,5 +11,5 @@
     """A connection ended before its response was complete."""
 
 
-class InvalidAnswerError(RouterError):
+class InvalidResponseError(RouterError):
     """The received data is not a valid response to the request."""
--- a/packages/router/src/lacewingspar_router/http1/exchange.py
+++ b/packages/router/src/lacewingspar_router/http1/exchange.py
@@ -90,7 +90,9 @@
         if self._is_chunked:
             self._connection.write(b"0\r\n\r\n")
 
-    def answer(self, status: int, headers: RawHeaders, body: bytes) -> None:
+    def send_response(
+        self, status: int, headers: RawHeaders, body: bytes
+    ) -> None:
         """Send a whole response."""
         self.is_started = self.is_finished = True
         self._connection.write(
--- a/packages/router/src/lacewingspar_router/http1/listener.py
+++ b/packages/router/src/lacewingspar_router/http1/listener.py
@@ -58,7 +58,7 @@
     loop has few iterations, so callers would time out in the listen queue.
 
     Attributes:
-        accepted: Number of connections accepted since the start.
+        accepted_count: Number of connections accepted since the start.
 
     Args:
         bound: Bound, non-blocking socket, which the listener closes.
@@ -69,7 +69,7 @@
     def __init__(
         self, bound: socket.socket, factory: ProtocolFactory, backlog: int
     ) -> None:
-        self.accepted = 0
+        self.accepted_count = 0
         self._is_open = True
         self._socket = bound
         self._factory = factory
@@ -111,7 +111,7 @@
             except OSError as error:
                 self._handle_accept_failure(error)
                 return
-            self.accepted += 1
+            self.accepted_count += 1
             connection.setblocking(False)
             task = self._loop.create_task(self._async_open(connection))
             self._opening_tasks.add(task)
@@ -130,7 +130,7 @@
                 "failed to accept connections",
                 is_exhausted=error.errno in _RESOURCE_EXHAUSTION_ERRNOS,
                 reason=str(error),
-                accepted=self.accepted,
+                accepted=self.accepted_count,
             )
         self._loop.remove_reader(self._socket)
         self._retry_timer = self._loop.call_later(
--- a/packages/router/src/lacewingspar_router/http1/server.py
+++ b/packages/router/src/lacewingspar_router/http1/server.py
@@ -16,7 +16,7 @@
 # connections per second, and callers time out after a second. Callers that
 # would wait longer should connect to another router instead.
 LISTEN_BACKLOG = 128
-# Effectively unlimited; applies until `most_connections` is set.
+# Effectively unlimited; applies until `max_connections` is set.
 DEFAULT_MAX_CONNECTIONS = 1_000_000
 # Idle connections closed together, because finding the longest idle ones scans
 # all connections.
@@ -42,7 +42,7 @@
         limits: Limits of each connection; may be replaced at any time.
         connections: Open connections.
         is_closing_connections: Whether connections close after a response.
-        most_connections: Number of open connections above which idle ones are
+        max_connections: Number of open connections above which idle ones are
             closed.
 
     Args:
@@ -64,7 +64,7 @@
         self.limits = ConnectionLimits()
         self.connections: set[CallerConnection] = set()
         self.is_closing_connections = False
-        self.most_connections = DEFAULT_MAX_CONNECTIONS
+        self.max_connections = DEFAULT_MAX_CONNECTIONS
         self._listener: Listener | None = None
 
     async def async_start(self, address: str) -> None:
@@ -86,19 +86,19 @@
         return self._listener.port
 
     @property
-    def accepted_connections(self) -> int:
+    def accepted_connection_count(self) -> int:
         """Return the number of connections accepted since the start."""
-        return 0 if self._listener is None else self._listener.accepted
+        return 0 if self._listener is None else self._listener.accepted_count
 
     @property
-    def busy_connections(self) -> int:
+    def busy_connection_count(self) -> int:
         """Return the number of connections with a request in flight."""
         return sum(not item.is_idle for item in self.connections)
 
     def add(self, connection: CallerConnection) -> None:
         """Register a new connection; close idle ones above the limit."""
         self.connections.add(connection)
-        if len(self.connections) > self.most_connections:
+        if len(self.connections) > self.max_connections:
             self._close_longest_idle()
 
     def _close_longest_idle(self) -> None:
@@ -117,7 +117,7 @@
             closed=len(longest_idle),
             idle=len(idle),
             connections=len(self.connections),
-            most_connections=self.most_connections,
+            most_connections=self.max_connections,
         )
 
     def stop_listening(self) -> None:
--- a/packages/router/src/lacewingspar_router/platform/store.py
+++ b/packages/router/src/lacewingspar_router/platform/store.py
@@ -22,7 +22,7 @@
 from lacewingspar_router.http1.errors import (
     ConnectionBrokenError,
     ConnectionFailedError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
 from lacewingspar_router.http1.messages import Response, encode_head
 from lacewingspar_router.platform import names
@@ -96,7 +96,7 @@
         ]
         data = encode_head(f"{method} {target} HTTP/1.1", headers) + body
         try:
-            connection = await self._pool.async_take(MAX_IDLE_SECONDS)
+            connection = await self._pool.async_acquire(MAX_IDLE_SECONDS)
         except ConnectionFailedError as error:
             raise TopicUnavailableError(str(error)) from error
         try:
@@ -107,7 +107,7 @@
         except (
             TimeoutError,
             ConnectionBrokenError,
-            InvalidAnswerError,
+            InvalidResponseError,
         ) as error:
             connection.abort()
             reason = str(error) or "response timed out"
@@ -115,7 +115,7 @@
         except BaseException:
             connection.abort()
             raise
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return response
 
     def close(self) -> None:
--- a/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
@@ -10,7 +10,7 @@
 from lacewingspar_router.http1.errors import (
     ConnectionBrokenError,
     ConnectionFailedError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
 from lacewingspar_router.http1.messages import ResponseEnd, ResponseHead
 from lacewingspar_standins.deployed.documents import request_bytes
@@ -154,18 +154,18 @@
                 await _async_read(connection, call)
         except TimeoutError:
             call.left_at = loop.time()
-        except (ConnectionBrokenError, InvalidAnswerError):
+        except (ConnectionBrokenError, InvalidResponseError):
             call.ended_at = loop.time()
         else:
             call.ended_at = loop.time()
         if not call.is_complete or call.headers.get("connection") == "close":
             return False
-        return connection.finish()
+        return connection.complete_exchange()
 
 
 async def _async_read(connection: ClientConnection, call: SeenCall) -> None:
     while True:
-        match await connection.next_event():
+        match await connection.async_next_event():
             case ResponseHead(status, pairs):
                 call.status = status
                 call.headers = {
--- a/tests/router/deployed/conftest.py
+++ b/tests/router/deployed/conftest.py
@@ -91,7 +91,7 @@
         answer = Answer()
         try:
             while True:
-                match await connection.next_event():
+                match await connection.async_next_event():
                     case ResponseHead(status, pairs):
                         answer.status = status
                         answer.headers = {
--- a/tests/router/deployed/test_http1_client.py
+++ b/tests/router/deployed/test_http1_client.py
@@ -8,7 +8,7 @@
 from lacewingspar_router.http1.client import ClientConnection
 from lacewingspar_router.http1.errors import (
     ConnectionBrokenError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
 from lacewingspar_router.http1.messages import ResponseEnd, ResponseHead
 
@@ -38,12 +38,12 @@
     connection.connection_made(mock.Mock())
     connection.send(b"request")
     with pytest.raises(TimeoutError):
-        await connection.next_event(0.01)
+        await connection.async_next_event(0.01)
     connection.data_received(HEAD + b"3\r\none\r\n")
-    assert isinstance(await connection.next_event(0.01), ResponseHead)
-    assert await connection.next_event(0.01) == b"one"
+    assert isinstance(await connection.async_next_event(0.01), ResponseHead)
+    assert await connection.async_next_event(0.01) == b"one"
     with pytest.raises(TimeoutError):
-        await connection.next_event(0.01)
+        await connection.async_next_event(0.01)
 
 
 class _Sink:
@@ -77,7 +77,7 @@
     connection.data_received(b"3\r\none\r\n")
     sink = _Sink()
     streaming = asyncio.create_task(
-        connection.async_pass_body(sink, None, None)
+        connection.async_stream_body(sink, None, None)
     )
     await asyncio.sleep(0)
     connection.data_received(b"3\r\ntwo\r\n")
@@ -92,7 +92,7 @@
     sink = _Sink()
     sink.takes_more = False
     streaming = asyncio.create_task(
-        connection.async_pass_body(sink, None, None)
+        connection.async_stream_body(sink, None, None)
     )
     await asyncio.sleep(0)
     connection.data_received(b"3\r\none\r\n")
@@ -113,17 +113,17 @@
     connection, _ = _connection_with_head()
     connection.data_received(b"3\r\none\r\n" if limits[1] else b"")
     with pytest.raises(TimeoutError):
-        await connection.async_pass_body(_Sink(), *limits)
+        await connection.async_stream_body(_Sink(), *limits)
 
 
 @pytest.mark.parametrize(
     ("data", "error"),
-    [(b"no chunk", InvalidAnswerError), (b"", ConnectionBrokenError)],
+    [(b"no chunk", InvalidResponseError), (b"", ConnectionBrokenError)],
 )
 async def test_broken_body_raises(data: bytes, error: type[Exception]) -> None:
     connection, _ = _connection_with_head()
     streaming = asyncio.create_task(
-        connection.async_pass_body(_Sink(), None, None)
+        connection.async_stream_body(_Sink(), None, None)
     )
     await asyncio.sleep(0)
     connection.data_received(data)
@@ -135,9 +135,9 @@
 async def test_connection_with_a_second_response_is_not_reused() -> None:
     connection, _ = _connection_with_head()
     streaming = asyncio.create_task(
-        connection.async_pass_body(_Sink(), None, None)
+        connection.async_stream_body(_Sink(), None, None)
     )
     await asyncio.sleep(0)
     connection.data_received(b"0\r\n\r\n" + HEAD)
     await streaming
-    assert not connection.finish()
+    assert not connection.complete_exchange()
--- a/tests/router/test_connection_memory.py
+++ b/tests/router/test_connection_memory.py
@@ -23,7 +23,7 @@
 @pytest.fixture
 async def server() -> AsyncIterator[Http1Server]:
     async def respond(exchange: ServerExchange) -> None:
-        exchange.answer(204, [], b"")
+        exchange.send_response(204, [], b"")
 
     loop = asyncio.get_running_loop()
     http1_server = Http1Server(respond, loop.time)
@@ -45,7 +45,7 @@
     """Send one request and return its open connection."""
     connection = await async_open_connection(address)
     connection.send(REQUEST)
-    while not isinstance(await connection.next_event(), ResponseEnd):
+    while not isinstance(await connection.async_next_event(), ResponseEnd):
         pass
     return connection
 
@@ -73,7 +73,7 @@
     """Guards against memory that grows until the next garbage collection."""
     client = await async_open_connection(f"127.0.0.1:{server.port}")
     client.send(REQUEST)
-    while not isinstance(await client.next_event(), ResponseEnd):
+    while not isinstance(await client.async_next_event(), ResponseEnd):
         pass
     (connection,) = server.connections
     references = [weakref.ref(connection), weakref.ref(client)]
--- a/tests/router/test_connection_pool.py
+++ b/tests/router/test_connection_pool.py
@@ -20,9 +20,9 @@
     pool = ConnectionPool("10.0.0.1:80", max_idle_connections=1)
     kept, kept_transport = used_connection()
     closed, closed_transport = used_connection()
-    pool.give_back(kept)
-    pool.give_back(closed)
+    pool.release(kept)
+    pool.release(closed)
     kept_transport.abort.assert_not_called()
     closed_transport.abort.assert_called_once()
-    assert await pool.async_take() is kept
+    assert await pool.async_acquire() is kept
     assert pool.is_empty
--- a/tests/router/test_http1_server.py
+++ b/tests/router/test_http1_server.py
@@ -24,7 +24,7 @@
 
     async def async_handle(self, exchange: ServerExchange) -> None:
         await self.may_respond.wait()
-        exchange.answer(204, [], b"")
+        exchange.send_response(204, [], b"")
 
 
 async def is_open(connection: ClientConnection) -> bool:
@@ -32,7 +32,7 @@
     try:
         connection.send(REQUEST)
         async with asyncio.timeout(1.0):
-            await connection.next_event()
+            await connection.async_next_event()
     except Exception:
         return False
     return True
@@ -46,7 +46,7 @@
     handler = BlockingHandler()
     loop = asyncio.get_running_loop()
     server = Http1Server(handler.async_handle, loop.time)
-    server.most_connections = 2
+    server.max_connections = 2
     await server.async_start("127.0.0.1:0")
     address = f"127.0.0.1:{server.port}"
     try:
@@ -60,7 +60,7 @@
         handler.may_respond.set()
         assert not await is_open(idle)
         assert await is_open(newest)
-        assert await busy.next_event()
+        assert await busy.async_next_event()
     finally:
         server.close()
 
@@ -72,7 +72,7 @@
     monkeypatch.setattr(http1_server, "IDLE_CLOSE_BATCH_SIZE", 8)
     loop = asyncio.get_running_loop()
     server = Http1Server(BlockingHandler().async_handle, loop.time)
-    server.most_connections = 16
+    server.max_connections = 16
     await server.async_start("127.0.0.1:0")
     address = f"127.0.0.1:{server.port}"
     with structlog.testing.capture_logs() as lines:
@@ -104,10 +104,10 @@
     statuses = []
     for _ in range(3):
         response = await async_exchange(connection, REQUEST, 1000)
-        assert connection.finish()
+        assert connection.complete_exchange()
         statuses.append(response.status)
     assert statuses == [503, 204, 503]
-    assert server.accepted_connections == 1
+    assert server.accepted_connection_count == 1
     connection.abort()
     server.close()
 
@@ -132,7 +132,7 @@
     sink = RecordingConnection()
     request = HttpRequest("GET", "/", [], b"", 0.0)
     exchange = ServerExchange(sink, request)
-    exchange.answer(503, [(b"retry-after", b"1")], b"later")
+    exchange.send_response(503, [(b"retry-after", b"1")], b"later")
     assert exchange.is_started
     assert exchange.is_finished
     (data,) = sink.writes
--- a/tests/router/test_listener.py
+++ b/tests/router/test_listener.py
@@ -29,7 +29,7 @@
 
 
 async def respond(exchange: ServerExchange) -> None:
-    exchange.answer(204, [], b"")
+    exchange.send_response(204, [], b"")
 
 
 async def respond_asgi(_scope: Any, _receive: Any, send: Any) -> None:
@@ -128,7 +128,7 @@
         connection = connect(listener.port)
         await asyncio.wait_for(opened.wait(), 2.0)
     assert [line["event"] for line in lines] == ["failed to accept connections"]
-    assert listener.accepted == 1
+    assert listener.accepted_count == 1
     listener.close()
     connection.close()
 
