--- a/packages/core/src/lacewingspar_core/messages.py
+++ b/packages/core/src/lacewingspar_core/messages.py
@@ -95,8 +95,8 @@
     Attributes:
         members: Full records, the sender's own first.
         member_updates: Updates of members that receivers know already.
-        alive_count: Number of routers that the sender considers alive, including
-            itself; 0 if `members` lists all of them.
+        alive_count: Number of routers that the sender considers alive,
+            including itself; 0 if `members` lists all of them.
     """
 
     members: tuple[MemberRecord, ...]
--- a/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
@@ -90,7 +90,7 @@
     @property
     def under_way(self) -> int:
         """Return the number of requests in flight at neighbours."""
-        return self._neighbour_loads.under_way
+        return self._neighbour_loads.in_flight
 
     def choose(self, call: Call) -> Neighbour | None:
         """Choose the neighbour to hand a request over to.
@@ -131,7 +131,7 @@
                 outcome = await self._async_exchange(exchange, call, neighbour)
         except TimeoutError as error:
             outcome = HandOverOutcome.DEADLINE_PASSED
-            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
+            self._neighbour_loads.exclude(neighbour.router_id, self._app.now())
             if not exchange.is_started:
                 raise refusals.deadline_passed(may_have_run=True) from error
         finally:
@@ -179,7 +179,7 @@
                 const.NON_REPEATABLE_MAX_IDLE_SECONDS
             )
         except ConnectionFailedError:
-            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
+            self._neighbour_loads.exclude(neighbour.router_id, self._app.now())
             return HandOverOutcome.NOT_TAKEN
         is_reusable = False
         try:
@@ -195,7 +195,7 @@
             )
             is_reusable = True
         except (ConnectionBrokenError, InvalidResponseError) as error:
-            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
+            self._neighbour_loads.exclude(neighbour.router_id, self._app.now())
             _LOGGER.warning(
                 "router failed after a request was handed over to it",
                 request_id=call.metadata.request_id,
@@ -210,7 +210,7 @@
             else:
                 connection.abort()
         if refused is not None:
-            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
+            self._neighbour_loads.exclude(neighbour.router_id, self._app.now())
             return HandOverOutcome.NOT_TAKEN
         return HandOverOutcome.ANSWERED
 
