--- a/tests/router/deployed/test_pools.py
+++ b/tests/router/deployed/test_pools.py
@@ -43,7 +43,9 @@
         peers = mock.Mock(alive_by_router_id=self.alive)
         peers.add_listener = self.listeners.append
         routing = mock.Mock()
-        routing.directory.ready_upstreams = lambda _: {f"u{n}": None for n in range(40)}
+        routing.directory.ready_upstreams = lambda _: {
+            f"u{n}": None for n in range(40)
+        }
         parts: dict[Any, Any] = {PEERS: peers, ROUTING: routing}
         app = mock.Mock(get=parts.__getitem__)
         app.now = lambda: self.now
