--- a/packages/core/src/lacewingspar_core/adaptive_limit.py
+++ b/packages/core/src/lacewingspar_core/adaptive_limit.py
@@ -8,16 +8,16 @@
 
 from dataclasses import dataclass, replace
 
-MINIMUM_LIMIT_SLOTS = 1.0
+MIN_LIMIT_SLOTS = 1.0
 # Each report without waiting requests raises the limit by this fraction of the
 # maximum, so it recovers from 1 within 16 reports.
 INCREASE_FRACTION = 1 / 16
-MINIMUM_INCREASE_SLOTS = 1.0
+MIN_INCREASE_SLOTS = 1.0
 DECREASE_FACTOR = 0.8
 # A few waiting requests are tolerated, since they keep the upstream's batch
 # full between two reports.
 TOLERATED_WAITING_FRACTION = 0.1
-MINIMUM_TOLERATED_WAITING_REQUESTS = 1.0
+MIN_TOLERATED_WAITING_REQUESTS = 1.0
 # Tolerated waiting requests lower the limit as well if the recent latency
 # exceeds this multiple of the baseline.
 SLOW_LATENCY_FACTOR = 2.0
@@ -127,11 +127,11 @@
     if _is_congested(limit, waiting):
         if _is_cooling_down(limit, running + waiting, measured_at):
             return limit
-        lowered = max(MINIMUM_LIMIT_SLOTS, limit.value * DECREASE_FACTOR)
+        lowered = max(MIN_LIMIT_SLOTS, limit.value * DECREASE_FACTOR)
         return replace(limit, value=lowered, lowered_at=now)
     if waiting > 0:
         return limit
-    step = max(MINIMUM_INCREASE_SLOTS, limit.maximum * INCREASE_FRACTION)
+    step = max(MIN_INCREASE_SLOTS, limit.maximum * INCREASE_FRACTION)
     return replace(limit, value=min(float(limit.maximum), limit.value + step))
 
 
@@ -147,7 +147,7 @@
 
 def _is_congested(limit: AdaptiveLimit, waiting: int) -> bool:
     tolerated = max(
-        MINIMUM_TOLERATED_WAITING_REQUESTS,
+        MIN_TOLERATED_WAITING_REQUESTS,
         limit.value * TOLERATED_WAITING_FRACTION,
     )
     return waiting > tolerated or (waiting > 0 and limit.is_slow)
--- a/packages/core/src/lacewingspar_core/ownership.py
+++ b/packages/core/src/lacewingspar_core/ownership.py
@@ -6,12 +6,12 @@
 
 import xxhash
 
-# Limits the slot allocations of one slot owner to its share of the control
-# traffic budget at the target fleet size.
+# Keeps the grants of one slot owner within its share of the control-plane
+# budget at the target fleet size.
 UPSTREAMS_PER_SHARD = 16
 # Routers with less than this fraction of the largest router's processor time
 # own no shards.
-MINIMUM_OWNER_CAPACITY_FRACTION = 0.5
+MIN_OWNER_CAPACITY_FRACTION = 0.5
 
 _HASH_VALUES = 2**64
 
@@ -94,7 +94,7 @@
     return [
         router_id
         for router_id, capacity in capacity_by_router_id.items()
-        if capacity >= MINIMUM_OWNER_CAPACITY_FRACTION * largest
+        if capacity >= MIN_OWNER_CAPACITY_FRACTION * largest
     ]
 
 
--- a/packages/core/src/lacewingspar_core/upstream_health.py
+++ b/packages/core/src/lacewingspar_core/upstream_health.py
@@ -30,10 +30,10 @@
 FIRST_PROBE_DELAY_SECONDS = 0.25
 PROBE_DELAY_FACTOR = 2.0
 # A restarted upstream waits at most this long for new requests.
-MAXIMUM_PROBE_DELAY_SECONDS = 5.0
+MAX_PROBE_DELAY_SECONDS = 5.0
 # Each delay is multiplied by a random factor between this and 1, so that the
 # routers do not probe at the same time.
-MINIMUM_PROBE_JITTER_FRACTION = 0.5
+MIN_PROBE_JITTER_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -251,13 +251,13 @@
     if state != STATE_FAILING:
         return replace(health, next_probe_at=None)
     delay = min(
-        MAXIMUM_PROBE_DELAY_SECONDS,
+        MAX_PROBE_DELAY_SECONDS,
         max(
             FIRST_PROBE_DELAY_SECONDS,
             health.probe_delay_seconds * PROBE_DELAY_FACTOR,
         ),
     )
-    jitter = random.uniform(MINIMUM_PROBE_JITTER_FRACTION, 1.0)
+    jitter = random.uniform(MIN_PROBE_JITTER_FRACTION, 1.0)
     return replace(
         health, probe_delay_seconds=delay, next_probe_at=now + delay * jitter
     )
