--- a/packages/router/src/lacewingspar_router/components/log_service/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/log_service/__init__.py
@@ -10,7 +10,7 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Set up the client; the log service need not be reachable."""
+    """Set up the client, even while the log service is unreachable."""
     settings = app.settings
     client = httpx.AsyncClient(
         base_url=map_url(settings.log_service_url, settings.address_map),
--- a/packages/router/src/lacewingspar_router/components/log_service/client.py
+++ b/packages/router/src/lacewingspar_router/components/log_service/client.py
@@ -28,7 +28,7 @@
 from lacewingspar_router.components.log_service.models import LogPage
 from lacewingspar_router.components.telemetry.models import TELEMETRY
 
-# Failures before the request is sent.
+# Errors that occur before the request is sent.
 _NOT_SENT_ERRORS = (
     httpx.ConnectError,
     httpx.ConnectTimeout,
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class _WaitingAppend:
-    """An append that waits for its turn or for its reply."""
+    """An append that is queued or awaits its reply."""
 
     records: tuple[bytes, ...]
     first_offset: asyncio.Future[int]
@@ -47,18 +47,18 @@
 
 @dataclass(slots=True)
 class _Stream:
-    """Appends of one stream, of which one is in flight at a time."""
+    """Queue of appends to one stream, with one batch in flight."""
 
     waiting: list[_WaitingAppend] = field(default_factory=list)
     is_in_flight: bool = False
 
 
 class HttpLogService:
-    """Client that batches appends.
+    """Client of the log service that sends appends in batches.
 
     Args:
         app: Application that owns the tasks.
-        client: HTTP client whose base URL is the log service.
+        client: HTTP client with the base URL of the log service.
     """
 
     def __init__(self, app: Application, client: httpx.AsyncClient) -> None:
@@ -71,8 +71,8 @@
         """Append records together and return the offset of the first.
 
         Raises:
-            LogUnavailableError: The records were certainly not appended.
-            LogAppendUnknownError: The records may or may not be appended.
+            LogUnavailableError: The records were not appended.
+            LogAppendUnknownError: The records may have been appended.
         """
         state = self._stream_by_name.setdefault(stream, _Stream())
         waiting = _WaitingAppend(
@@ -89,10 +89,10 @@
     async def async_read(
         self, stream: str, from_offset: int, *, wait_seconds: float
     ) -> LogPage:
-        """Read records, waiting for the first one if there is none.
+        """Read records, or wait for the next one if there is none.
 
         Raises:
-            LogUnavailableError: The log service did not answer.
+            LogUnavailableError: The log service did not respond correctly.
         """
         parameters = {
             "from": from_offset,
@@ -112,7 +112,7 @@
             reply = msgspec.json.decode(response.content, type=ReadReply)
         except (httpx.HTTPError, msgspec.MsgspecError) as error:
             self._telemetry.count(METRIC_READ_FAILURES, stream=stream)
-            raise LogUnavailableError(f"read of {stream}: {error!r}") from error
+            raise LogUnavailableError(f"reading {stream}: {error!r}") from error
         return LogPage(
             first_retained=reply.first_retained,
             next_offset=reply.next_offset,
@@ -124,7 +124,7 @@
         )
 
     async def _async_send_waiting(self, stream: str, state: _Stream) -> None:
-        """Append batches until nothing waits."""
+        """Send batches until no append is waiting."""
         batch: list[_WaitingAppend] = []
         try:
             while state.waiting:
@@ -132,7 +132,9 @@
                 await self._async_send_batch(stream, batch)
         finally:
             state.is_in_flight = False
-            stopped = LogAppendUnknownError("the router stopped")
+            stopped = LogAppendUnknownError(
+                "the router stopped before the reply"
+            )
             for waiting in batch + state.waiting:
                 _set_error(waiting, stopped)
             state.waiting = []
@@ -171,16 +173,18 @@
                 ),
             )
         except _NOT_SENT_ERRORS as error:
-            raise LogUnavailableError(f"append: {error!r}") from error
+            raise LogUnavailableError(f"append failed: {error!r}") from error
         except httpx.HTTPError as error:
-            raise LogAppendUnknownError(f"append: {error!r}") from error
+            raise LogAppendUnknownError(f"append failed: {error!r}") from error
         if response.status_code in NOT_WRITTEN_STATUSES:
-            raise LogUnavailableError(f"append: HTTP {response.status_code}")
+            raise LogUnavailableError(
+                f"append failed: HTTP {response.status_code}"
+            )
         try:
             response.raise_for_status()
             reply = msgspec.json.decode(response.content, type=AppendReply)
         except (httpx.HTTPError, msgspec.MsgspecError) as error:
-            raise LogAppendUnknownError(f"append: {error!r}") from error
+            raise LogAppendUnknownError(f"append failed: {error!r}") from error
         return reply.first_offset
 
 
--- a/packages/router/src/lacewingspar_router/components/log_service/const.py
+++ b/packages/router/src/lacewingspar_router/components/log_service/const.py
@@ -1,19 +1,19 @@
 """Constants of the log service component."""
 
-# A connection within a region takes milliseconds; a longer attempt is lost.
+# Connecting within a region takes milliseconds; a slower attempt has failed.
 CONNECT_TIMEOUT_SECONDS = 1.0
-# Slow periods of the log service take seconds. A caller that waits for a
-# claim longer than this is better off with a refusal.
+# Slow periods of the log service last seconds. A caller that waits for a claim
+# is better served by an error than by a longer wait.
 APPEND_TIMEOUT_SECONDS = 3.0
-# Added to the time that a read waits at the service for a record.
+# Added to the time for which the log service may hold a read until a record
+# arrives.
 READ_TIMEOUT_MARGIN_SECONDS = 2.0
-# Idle connections are closed early, since one that has gone silent would cost
-# the next append its timeout.
+# Idle connections are closed early, because an append on a dead connection
+# fails only after its timeout.
 KEEPALIVE_SECONDS = 5.0
-# Records that one read returns at most.
 READ_LIMIT_RECORDS = 1000
 
-# Answers by which the service says that it has not appended anything.
+# Status codes with which the log service guarantees that nothing was appended.
 NOT_WRITTEN_STATUSES = frozenset({429, 503})
 
 METRIC_APPENDS = "log_appends"
--- a/packages/router/src/lacewingspar_router/components/log_service/errors.py
+++ b/packages/router/src/lacewingspar_router/components/log_service/errors.py
@@ -8,8 +8,8 @@
 
 
 class LogUnavailableError(LogServiceError):
-    """The log service cannot be reached; nothing was written."""
+    """The log service is unavailable; nothing was written."""
 
 
 class LogAppendUnknownError(LogServiceError):
-    """The reply to an append was lost; it may have been written."""
+    """The reply to an append was lost; the records may have been written."""
--- a/packages/router/src/lacewingspar_router/components/log_service/models.py
+++ b/packages/router/src/lacewingspar_router/components/log_service/models.py
@@ -13,10 +13,10 @@
     """Records read from a stream.
 
     Attributes:
-        first_retained: First offset that the log service still keeps.
+        first_retained: First offset that the log service still retains.
         next_offset: Offset that the next append will get.
-        retention_seconds: Time for which records are kept, in seconds.
-        records: Consecutive records.
+        retention_seconds: Time for which records are retained.
+        records: Records at consecutive offsets.
     """
 
     first_retained: int
@@ -32,17 +32,17 @@
         """Append records together and return the offset of the first.
 
         Raises:
-            LogUnavailableError: The records were certainly not appended.
-            LogAppendUnknownError: The records may or may not be appended.
+            LogUnavailableError: The records were not appended.
+            LogAppendUnknownError: The records may have been appended.
         """
 
     async def async_read(
         self, stream: str, from_offset: int, *, wait_seconds: float
     ) -> LogPage:
-        """Read records, waiting for the first one if there is none.
+        """Read records, or wait for the next one if there is none.
 
         Raises:
-            LogUnavailableError: The log service did not answer.
+            LogUnavailableError: The log service did not respond correctly.
         """
 
 
--- a/packages/router/src/lacewingspar_router/components/peers/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between routers over ZeroMQ, and membership."""
+"""ZeroMQ messages between routers and fleet membership."""
 
 from lacewingspar_core.membership import Membership, Seed
 from lacewingspar_core.messages import MemberRecord, RouterState
@@ -8,7 +8,7 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Set up the peer sockets and start heartbeats."""
+    """Open the peer socket and start sending heartbeats."""
     settings = app.settings
     platform = settings.platform
     own = MemberRecord(
--- a/packages/router/src/lacewingspar_router/components/peers/const.py
+++ b/packages/router/src/lacewingspar_router/components/peers/const.py
@@ -1,13 +1,12 @@
 """Constants of the peers component."""
 
-# ZMTP pings find connections that have gone silent; the library then opens a
-# new one.
+# ZMTP pings detect dead connections, which ZeroMQ then reopens.
 PING_INTERVAL_SECONDS = 1.0
 PING_TIMEOUT_SECONDS = 3.0
 RECONNECT_INTERVAL_SECONDS = 0.1
 RECONNECT_MAX_INTERVAL_SECONDS = 1.0
-# Messages that wait for a connection; more are dropped, since every message
-# is repeated or has a timeout.
+# Messages that are queued per peer. Further ones are dropped, since every
+# message is repeated or has a timeout.
 SEND_QUEUE_MESSAGES = 1000
 LARGEST_MESSAGE_BYTES = 64 * 1024 * 1024
 
--- a/packages/router/src/lacewingspar_router/components/peers/models.py
+++ b/packages/router/src/lacewingspar_router/components/peers/models.py
@@ -19,7 +19,7 @@
     """A message from another router, or from this one to itself.
 
     Attributes:
-        sender: Life of the sender.
+        sender: Router instance that sent the message.
         data_centre: Data centre of the sender.
         message: The message.
     """
@@ -30,23 +30,23 @@
 
 
 class PeerNetwork(Protocol):
-    """Messages between routers and the view of who is alive."""
+    """Sends messages between routers and tracks which are alive."""
 
     def send(self, router_id: str, message: AnyPeerMessage) -> int:
-        """Send a message; it may be lost, repeated or reordered.
+        """Send a message, which may be lost, repeated or reordered.
 
         Returns:
-            Number of bytes that go over the network.
+            Number of bytes sent over the network.
         """
 
     def add_seeds(self, seeds: Iterable[Seed]) -> None:
-        """Contact further routers at once."""
+        """Add routers to contact and send heartbeats at once."""
 
     def set_applied_offset_source(self, read: Callable[[], int]) -> None:
-        """Set the function whose value heartbeats carry as applied offset."""
+        """Set the function that returns the applied offset for heartbeats."""
 
     def set_busy_source(self, read: Callable[[], bool]) -> None:
-        """Set the function that tells whether this router has no room."""
+        """Set the function that returns whether this router is busy."""
 
     def subscribe(
         self,
@@ -60,7 +60,7 @@
         """Return the routers that are alive, this one included."""
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change of who is alive."""
+        """Call a function when the alive routers or their states change."""
 
 
 PEERS: ComponentKey[PeerNetwork] = ComponentKey("peers")
--- a/packages/router/src/lacewingspar_router/components/peers/network.py
+++ b/packages/router/src/lacewingspar_router/components/peers/network.py
@@ -1,4 +1,4 @@
-"""Sockets between routers and the view of who is alive."""
+"""ZeroMQ sockets between routers and the set of alive routers."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
@@ -43,14 +43,14 @@
 
 
 class _Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """First frame of a message: who sends it."""
+    """First frame of a message, which identifies its sender."""
 
     sender: RouterLife
     data_centre: str
 
 
 class ZmqPeerNetwork:
-    """Peer network over one PULL socket and one PUSH socket for each peer.
+    """Peer network with one PULL socket and one PUSH socket per peer.
 
     Args:
         app: The application.
@@ -66,7 +66,9 @@
         self._handlers_by_type: dict[type[PeerMessage], list[Handler]] = {}
         self._listeners: list[Callable[[], None]] = []
         self._alive_by_router_id: dict[str, MemberRecord] = {}
-        self._announced: dict[str, tuple[RouterLife, RouterState]] = {}
+        self._notified_by_router_id: dict[
+            str, tuple[RouterLife, RouterState]
+        ] = {}
         self._envelope = msgspec.msgpack.encode(
             _Envelope(app.life, app.settings.data_centre)
         )
@@ -79,7 +81,7 @@
         self._refresh_alive()
 
     def bind(self) -> None:
-        """Open the socket on which other routers reach this one.
+        """Open the socket that receives messages from other routers.
 
         Raises:
             PeerBindError: The address is in use or not available.
@@ -94,23 +96,23 @@
         self._receiver = receiver
 
     def add_seeds(self, seeds: Iterable[Seed]) -> None:
-        """Contact further routers at once."""
+        """Add routers to contact and send heartbeats at once."""
         self._membership.add_seeds(seeds)
         self.beat()
 
     def set_busy_source(self, read: Callable[[], bool]) -> None:
-        """Set the function that tells whether this router has no room."""
+        """Set the function that returns whether this router is busy."""
         self._read_is_busy = read
 
     def set_applied_offset_source(self, read: Callable[[], int]) -> None:
-        """Set the function that gives the applied configuration offset."""
+        """Set the function that returns the applied offset for heartbeats."""
         self._read_applied_offset = read
 
     def send(self, router_id: str, message: AnyPeerMessage) -> int:
-        """Send a message; it may be lost, repeated or reordered.
+        """Send a message, which may be lost, repeated or reordered.
 
         Returns:
-            Number of bytes that go over the network.
+            Number of bytes sent over the network.
         """
         if router_id == self._app.life.router_id:
             self._deliver_to_self(message)
@@ -142,7 +144,7 @@
         return self._alive_by_router_id
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change of who is alive."""
+        """Call a function when the alive routers or their states change."""
         self._listeners.append(listener)
 
     async def async_receive(self) -> None:
@@ -159,7 +161,7 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
     def beat(self) -> None:
-        """Send one heartbeat and update who is alive."""
+        """Send one heartbeat and update the set of alive routers."""
         state = _STATE_BY_LIFE_CYCLE[self._app.life_cycle]
         if state is RouterState.SERVING and self._read_is_busy():
             state = RouterState.BUSY
@@ -186,8 +188,8 @@
     def _close_unused_sockets(self) -> None:
         """Close the sockets of routers that are no longer known.
 
-        Otherwise each replaced router would leave a socket that tries to
-        connect for ever.
+        Otherwise ZeroMQ would keep trying to reconnect to each replaced
+        router.
         """
         unused = self._socket_by_address.keys() - self._membership.addresses()
         for address in unused:
@@ -232,13 +234,13 @@
 
     def _refresh_alive(self) -> None:
         self._alive_by_router_id = self._membership.alive(self._app.now())
-        announced = {
+        current_by_router_id = {
             router_id: (record.life, record.state)
             for router_id, record in self._alive_by_router_id.items()
         }
-        if announced == self._announced:
+        if current_by_router_id == self._notified_by_router_id:
             return
-        self._announced = announced
+        self._notified_by_router_id = current_by_router_id
         for listener in self._listeners:
             listener()
 
--- a/packages/router/src/lacewingspar_router/components/quarantine/errors.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/errors.py
@@ -4,4 +4,4 @@
 
 
 class NoUpstreamForSuspectError(RouterError):
-    """No upstream was free of other suspects before the deadline."""
+    """No upstream became free of other suspects before the deadline."""
--- a/packages/router/src/lacewingspar_router/components/quarantine/models.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/models.py
@@ -12,11 +12,11 @@
 
 @dataclass(slots=True, eq=False)
 class Subject:
-    """What identifies a request to the quarantine.
+    """Identifies a request in the quarantine.
 
     Attributes:
         service: Name of the service.
-        path: Path at the upstream with query string.
+        path: Path at the upstream, including the query string.
         body: Request body.
     """
 
@@ -27,7 +27,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """Return the fingerprint, which is computed only when needed."""
+        """Return the fingerprint, computed on first use."""
         if not self._fingerprint:
             self._fingerprint = fingerprint(self.service, self.path, self.body)
         return self._fingerprint
@@ -40,10 +40,11 @@
     Attributes:
         subject: The request.
         upstream_id: The upstream.
-        epoch: Number of its crashes known when the request was sent.
+        epoch: Number of known crashes of the upstream when the request was
+            sent.
         reservation: Reservation of the upstream if the request is a suspect.
-        is_complete: Whether the whole answer has arrived.
-        confirmation: Check whether the upstream has crashed, if it began.
+        is_complete: Whether the whole response has arrived.
+        confirmation: Check whether the upstream has crashed, once started.
     """
 
     subject: Subject
@@ -55,19 +56,19 @@
 
 
 class CrashQuarantine(Protocol):
-    """Requests that crash upstreams, as known to the fleet."""
+    """Tracks requests that crash upstreams, across the fleet."""
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after new crashes have become known."""
+        """Call a function whenever new crashes become known."""
 
     def refused_seconds(self, subject: Subject) -> float:
-        """Return how long a request is still refused, or 0."""
+        """Return the remaining quarantine of a request in seconds, or 0."""
 
     def is_suspect(self, subject: Subject) -> bool:
-        """Return whether a request must run apart from other suspects."""
+        """Return whether a request must not run beside other suspects."""
 
     async def async_wait_confirmed(self, subject: Subject) -> None:
-        """Wait for checks whether this request has crashed an upstream."""
+        """Wait for the running crash checks that involve a request."""
 
     async def async_busy_upstreams(
         self,
@@ -75,13 +76,16 @@
         usable: Callable[[], Collection[str]],
         deadline_at: float,
     ) -> frozenset[str]:
-        """Wait until a suspect may run and return what it must not use.
+        """Wait until an upstream is free of other suspects.
 
         Args:
-            subject: The suspect.
+            subject: The suspect that is to run.
             usable: Returns the upstreams that could run it now.
             deadline_at: Latest end of the wait on the application's clock.
 
+        Returns:
+            Upstreams that run other suspects and must not be used.
+
         Raises:
             NoUpstreamForSuspectError: The deadline has passed.
         """
@@ -89,22 +93,22 @@
     async def async_begin(
         self, subject: Subject, upstream_id: str
     ) -> UpstreamRun | None:
-        """Note that a request is about to be sent.
+        """Record that a request is about to be sent to an upstream.
 
         Returns:
             The run, or None if a suspect must not run on this upstream now.
         """
 
     def on_break(self, run: UpstreamRun) -> "asyncio.Task[None]":
-        """Begin to check whether the upstream of a broken run has crashed."""
+        """Start a check whether the upstream of a broken run has crashed."""
 
     def end(self, run: UpstreamRun, *, is_left: bool) -> None:
-        """Note the end of a run.
+        """Record the end of a run.
 
         Args:
-            run: The run; `is_complete` tells whether it has succeeded.
-            is_left: Whether the caller has left, so that the upstream may
-                still be busy with the request.
+            run: The run; it has succeeded if `is_complete` is set.
+            is_left: Whether the caller has disconnected, so that the upstream
+                may still be processing the request.
         """
 
 
--- a/packages/router/src/lacewingspar_router/components/quarantine/registry.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/registry.py
@@ -1,4 +1,4 @@
-"""Crash records of all services, and the runs that they are made from."""
+"""Crash records of all services and the runs that they result from."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -27,11 +27,11 @@
 
 
 class CrashRegistry:
-    """Tells which requests are suspects and which are in quarantine.
+    """Decides which requests are suspects and which are quarantined.
 
     Args:
         app: The application that holds the other components.
-        gate: Reservations of upstreams for suspects.
+        gate: Reserves upstreams for suspects.
     """
 
     def __init__(self, app: Application, gate: SuspectRunGate) -> None:
@@ -48,11 +48,11 @@
         self._exchange.add_listener(self._notify)
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after new crashes have become known."""
+        """Call a function whenever new crashes become known."""
         self._listeners.append(listener)
 
     def refused_seconds(self, subject: Subject) -> float:
-        """Return how long a request is still refused, or 0."""
+        """Return the remaining quarantine of a request in seconds, or 0."""
         state = self._exchange.known_state(subject.service)
         if state is None:
             return 0.0
@@ -60,18 +60,18 @@
         return max(0.0, state.refused_until(subject.fingerprint, now) - now)
 
     def is_suspect(self, subject: Subject) -> bool:
-        """Return whether a request must run apart from other suspects."""
+        """Return whether a request must not run beside other suspects."""
         state = self._exchange.known_state(subject.service)
         if state is None:
             return False
         return state.must_run_alone(subject.fingerprint, self._app.now())
 
     async def async_wait_confirmed(self, subject: Subject) -> None:
-        """Wait for checks whether this request has crashed an upstream."""
+        """Wait for the running crash checks that involve a request."""
         checks = [
             check
             for check, runs in self._broken_runs_by_check.items()
-            if any(_is_same(run.subject, subject) for run in runs)
+            if any(_is_same_request(run.subject, subject) for run in runs)
         ]
         if checks:
             await asyncio.wait(checks)
@@ -82,7 +82,10 @@
         usable: Callable[[], Collection[str]],
         deadline_at: float,
     ) -> frozenset[str]:
-        """Wait until a suspect may run and return what it must not use.
+        """Wait until an upstream is free of other suspects.
+
+        Returns:
+            Upstreams that run other suspects and must not be used.
 
         Raises:
             NoUpstreamForSuspectError: The deadline has passed.
@@ -94,7 +97,7 @@
     async def async_begin(
         self, subject: Subject, upstream_id: str
     ) -> UpstreamRun | None:
-        """Note that a request is about to be sent.
+        """Record that a request is about to be sent to an upstream.
 
         Returns:
             The run, or None if a suspect must not run on this upstream now.
@@ -112,10 +115,10 @@
         return run
 
     def on_break(self, run: UpstreamRun) -> "asyncio.Task[None]":
-        """Begin to check whether the upstream of a broken run has crashed.
+        """Start a check whether the upstream of a broken run has crashed.
 
-        A crash breaks all runs of the upstream, so the first one that breaks
-        starts the check for all.
+        A crash breaks all runs of an upstream, so they share the check that
+        the first broken run starts.
         """
         if run.confirmation is not None:
             return run.confirmation
@@ -133,18 +136,18 @@
         return check
 
     def end(self, run: UpstreamRun, *, is_left: bool) -> None:
-        """Note the end of a run."""
+        """Record the end of a run."""
         if run.is_complete:
-            self._clear(run.subject)
+            self._record_success(run.subject)
         if is_left and not run.is_complete:
             asyncio.get_running_loop().call_later(
-                LEFT_RUN_SECONDS, self._end_left, run
+                LEFT_RUN_SECONDS, self._end_abandoned, run
             )
         else:
             self._discard(run)
 
-    def _end_left(self, run: UpstreamRun) -> None:
-        """End a run that nobody has watched since its caller left."""
+    def _end_abandoned(self, run: UpstreamRun) -> None:
+        """End an abandoned run; check for a crash if its upstream fails."""
         key = (run.subject.service, run.upstream_id)
         status = self._upstreams.status_by_upstream.get(key)
         if status is not None and status.state == _STATE_FAILING:
@@ -162,7 +165,7 @@
             self._gate.release(run.subject.service, run.reservation)
             run.reservation = None
 
-    def _clear(self, subject: Subject) -> None:
+    def _record_success(self, subject: Subject) -> None:
         state = self._exchange.known_state(subject.service)
         if state is not None:
             state.on_success(subject.fingerprint, self._app.now())
@@ -171,11 +174,12 @@
     async def _async_confirm(
         self, key: tuple[str, str], runs: frozenset[UpstreamRun]
     ) -> None:
-        """Record a crash unless the upstream still answers.
+        """Record a crash unless the upstream still responds.
 
-        A broken connection or a cut stream alone says nothing about the other
-        requests of the upstream. Upstreams that are shut down break calls too,
-        and more of them are replaced than crash.
+        A broken connection or stream alone is no sign of a crash: upstreams
+        that shut down break calls too, and more upstreams are replaced than
+        crash. Without a crash, the other requests of the upstream are not
+        suspects.
         """
         service, upstream_id = key
         status = self._upstreams.status_by_upstream.get(key)
@@ -183,8 +187,8 @@
             return
         if await self._upstreams.async_is_up(service, upstream_id):
             return
-        # A partition breaks all calls to a data centre and lets none of its
-        # upstreams answer.
+        # A partition breaks all calls to a data centre and makes all of its
+        # upstreams unreachable, without any crash.
         if not await self._upstreams.async_is_reachable(service, upstream_id):
             return
         suspects = {
@@ -210,5 +214,5 @@
             listener()
 
 
-def _is_same(one: Subject, other: Subject) -> bool:
+def _is_same_request(one: Subject, other: Subject) -> bool:
     return one.service == other.service and one.fingerprint == other.fingerprint
--- a/packages/router/src/lacewingspar_router/components/quarantine/suspects.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/suspects.py
@@ -1,4 +1,4 @@
-"""Runs of suspects, kept apart from each other over the fleet."""
+"""Keeps suspects apart from each other across the fleet."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -18,10 +18,10 @@
 
 
 class SuspectRunGate:
-    """Reserves upstreams for suspects.
+    """Reserves upstreams so that no two suspects share one.
 
     Args:
-        app: The application that holds the peers.
+        app: The application that holds the peers component.
     """
 
     def __init__(self, app: Application) -> None:
@@ -38,7 +38,10 @@
         usable: Callable[[], Collection[str]],
         deadline_at: float,
     ) -> frozenset[str]:
-        """Wait until a suspect may run and return what it must not use.
+        """Wait until a usable upstream is free of other suspects.
+
+        Returns:
+            Upstreams that run other suspects and must not be used.
 
         Raises:
             NoUpstreamForSuspectError: The deadline has passed.
@@ -57,7 +60,13 @@
             await self._async_wait_change(deadline_at - now)
 
     async def async_reserve(self, service: str, run: SuspectRun) -> bool:
-        """Reserve an upstream for a suspect and return whether it may run."""
+        """Reserve an upstream for a suspect.
+
+        Waits for competing reservations of other routers before it decides.
+
+        Returns:
+            Whether the suspect may run.
+        """
         table = self._table(service)
         if not table.reserve(run, self._app.now()):
             return False
@@ -80,7 +89,7 @@
         self._notify()
 
     async def async_renew(self) -> None:
-        """Repeat the announcements until cancelled."""
+        """Repeat the announcements of own reservations until cancelled."""
         while True:
             await asyncio.sleep(RENEW_SECONDS)
             for table in self._table_by_service.values():
--- a/packages/router/src/lacewingspar_router/components/telemetry/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/__init__.py
@@ -23,10 +23,10 @@
 
 
 def _span_source(settings: Settings) -> SpanSource:
-    """Return the source of spans that the settings ask for."""
+    """Return the span source that the settings select."""
     if settings.trace_file is None and settings.trace_url is None:
         return UnrecordedSpans()
-    # A router that records no spans does without the memory of the SDK.
+    # Imported only when needed, to save the memory of the OpenTelemetry SDK.
     from lacewingspar_router.components.telemetry.recorded_spans import (
         recorded_spans,
     )
--- a/packages/router/src/lacewingspar_router/components/telemetry/line_writer.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/line_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever waiting for a reader."""
+"""Writes log lines without blocking."""
 
 import os
 import time
@@ -6,27 +6,26 @@
 
 import msgspec
 
-# A busy router writes some two lines for each request, which is below 100 a
-# second on a VM; an outage may make each of them fail several times.
+# A busy router writes about two lines per request, which is below 100 lines per
+# second on a VM. In an outage each request may fail several times.
 LINES_PER_SECOND = 400.0
 BURST_LINES = 1000.0
-# Lines of the burst that lines about single requests leave to those about the
-# router itself, which are few and explain all requests of their time.
+# Part of the burst that is reserved for lines about the router itself. They are
+# few and help to explain all requests of the same period.
 RESERVED_LINES = 100.0
-# Rest of a line that the pipe did not take at once.
+# Maximum size of a partly written line that is kept for the next write.
 LARGEST_REST_BYTES = 64 * 1024
 
 
 class LineWriter:
-    """Writes lines to a file descriptor, and drops those beyond a rate.
+    """Writes lines to a file descriptor and drops those above a rate limit.
 
-    Lines are dropped and counted when there are too many, or when the reader
-    does not keep up. The next line that gets through is preceded by the number
-    of those dropped.
+    Lines are also dropped while the reader does not keep up. The next line that
+    is written is preceded by a line with the number of dropped lines.
 
     Args:
-        descriptor: Where the lines go; it is set to non-blocking.
-        router_id: Name of this router, for the line about dropped lines.
+        descriptor: File descriptor to write to; it is set to non-blocking.
+        router_id: Name of this router, logged with the number of dropped lines.
         clock: Clock in seconds.
     """
 
@@ -42,25 +41,25 @@
         self._clock = clock
         self._tokens = BURST_LINES
         self._refilled_at = clock()
-        self._rest = b""
+        self._unwritten = b""
         self.dropped = 0
 
     def takes_lines(self, *, is_about_request: bool) -> bool:
-        """Return whether the rate leaves room for a line now.
+        """Return whether the rate limit allows a line now.
 
         Args:
             is_about_request: Whether the line is about a single request.
         """
-        self._refill()
+        self._refill_tokens()
         reserve = RESERVED_LINES if is_about_request else 0.0
         return self._tokens >= 1 + reserve
 
     def write(self, text: str) -> None:
-        """Write a line, with or without its end, or drop it."""
+        """Write or drop a line; the newline at its end is optional."""
         line = text.rstrip("\n").encode("utf-8", "replace") + b"\n"
         if line == b"\n":
             return
-        if not self._take() or not self._flush_rest():
+        if not self._try_take_token() or not self._flush_unwritten():
             self.dropped += 1
             return
         if self.dropped:
@@ -70,29 +69,29 @@
             self.dropped += 1
             return
         self.dropped = 0
-        self._rest = line[written:][:LARGEST_REST_BYTES]
+        self._unwritten = line[written:][:LARGEST_REST_BYTES]
 
     def flush(self) -> None:
-        """Write what is left of the last line, if the reader takes it."""
-        self._flush_rest()
+        """Write the rest of a partly written line, as far as possible."""
+        self._flush_unwritten()
 
-    def _refill(self) -> None:
+    def _refill_tokens(self) -> None:
         now = self._clock()
         gained = (now - self._refilled_at) * LINES_PER_SECOND
         self._tokens = min(BURST_LINES, self._tokens + gained)
         self._refilled_at = now
 
-    def _take(self) -> bool:
-        self._refill()
+    def _try_take_token(self) -> bool:
+        self._refill_tokens()
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
-    def _flush_rest(self) -> bool:
-        if self._rest:
-            self._rest = self._rest[self._write(self._rest) :]
-        return not self._rest
+    def _flush_unwritten(self) -> bool:
+        if self._unwritten:
+            self._unwritten = self._unwritten[self._write(self._unwritten) :]
+        return not self._unwritten
 
     def _write(self, data: bytes) -> int:
         try:
@@ -100,7 +99,7 @@
         except BlockingIOError:
             return 0
         except OSError:
-            # Nobody can be told that the reader of the log is gone.
+            # The reader has closed the log, so the error cannot be logged.
             return 0
 
     def _dropped_line(self) -> bytes:
--- a/packages/router/src/lacewingspar_router/components/telemetry/log_lines.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines in JSON."""
+"""Configuration of log lines in JSON."""
 
 import io
 import logging
@@ -14,7 +14,7 @@
     structlog.contextvars.merge_contextvars,
     structlog.processors.add_log_level,
     structlog.processors.TimeStamper(fmt="iso", utc=True),
-    # Local variables could hold keys of callers.
+    # Local variables may contain API keys of callers.
     structlog.processors.ExceptionRenderer(
         structlog.tracebacks.ExceptionDictTransformer(
             show_locals=False, max_frames=12
@@ -27,8 +27,8 @@
     """Write log lines as JSON to standard output.
 
     Args:
-        level: Lowest level that is written, such as `info`.
-        router_id: Name of this router, part of every line.
+        level: Minimum level that is written, such as `info`.
+        router_id: Name of this router, added to every line.
     """
 
     def add_router(
@@ -37,31 +37,33 @@
         event["router"] = router_id
         return event
 
-    stream = _stream(router_id)
+    line_writer = _open_line_writer(router_id)
 
-    def drop_early(
+    def drop_over_rate(
         _logger: object, _method: str, event: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
-        # A line that will be dropped is not rendered.
-        if stream is not None and not stream.takes_lines(
+        # Avoids rendering a line that would be dropped.
+        if line_writer is not None and not line_writer.takes_lines(
             is_about_request="request_id" in event
         ):
-            stream.dropped += 1
+            line_writer.dropped += 1
             raise structlog.DropEvent
         return event
 
     processors = [add_router, *_SHARED_PROCESSORS]
     renderer = structlog.processors.JSONRenderer(serializer=_encode)
     structlog.configure(
-        processors=[drop_early, *processors, renderer],
+        processors=[drop_over_rate, *processors, renderer],
         wrapper_class=structlog.make_filtering_bound_logger(
             logging.getLevelNamesMapping()[level.upper()]
         ),
         logger_factory=structlog.PrintLoggerFactory(
-            file=cast(TextIO | None, stream)
+            file=cast(TextIO | None, line_writer)
         ),
     )
-    handler = logging.StreamHandler(cast(TextIO | None, stream) or sys.stdout)
+    handler = logging.StreamHandler(
+        cast(TextIO | None, line_writer) or sys.stdout
+    )
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
             processors=[
@@ -71,19 +73,20 @@
             foreign_pre_chain=processors,
         )
     )
-    # Libraries log through the standard module; only their problems matter.
+    # Libraries log through the standard module; only their warnings and errors
+    # are written.
     logging.basicConfig(level=logging.WARNING, handlers=[handler], force=True)
 
 
 def _encode(event: object, **_options: object) -> str:
-    """Return a line; values that JSON does not have are written as text."""
+    """Encode an event; values without a JSON form are written as text."""
     return msgspec.json.encode(event, enc_hook=str).decode()
 
 
-def _stream(router_id: str) -> LineWriter | None:
-    """Return where lines go instead of standard output, or None."""
+def _open_line_writer(router_id: str) -> LineWriter | None:
+    """Return a writer to standard output, or None if it is no file."""
     try:
         return LineWriter(sys.stdout.fileno(), router_id)
     except io.UnsupportedOperation:
-        # Standard output was replaced by an object in memory.
+        # Standard output was replaced by an in-memory object.
         return None
--- a/packages/router/src/lacewingspar_router/components/telemetry/metrics.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/metrics.py
@@ -5,8 +5,8 @@
 
 _Labels = tuple[tuple[str, str], ...]
 _PREFIX = "lacewingspar_"
-# Upper bounds in seconds, from the time of a call to a plain service to the
-# time of a long stream.
+# Upper bounds, from the duration of a call to a plain service to that of a long
+# stream.
 _BUCKETS_SECONDS = (
     0.005,
     0.01,
@@ -25,11 +25,11 @@
 
 
 class Metrics:
-    """Values of counters and gauges.
+    """Values of counters, gauges and histograms.
 
-    Values are kept in plain dictionaries and handed to the metrics library
-    when the page is rendered, since its collectors encode the labels as JSON
-    at each change.
+    Counters and gauges are kept in plain dictionaries and passed to the metrics
+    library when the page is rendered, because the collectors of the library
+    encode the labels as JSON at each change.
     """
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
         histogram.observe(labels, value)
 
     def render(self) -> tuple[str, bytes]:
-        """Return content type and body of the metrics page."""
+        """Return the content type and the body of the metrics page."""
         registry = Registry()
         for name, values in self._counts_by_name.items():
             counter = Counter(_PREFIX + name, name, registry=registry)
--- a/packages/router/src/lacewingspar_router/components/telemetry/models.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/models.py
@@ -28,7 +28,7 @@
         """
 
     def render(self) -> tuple[str, bytes]:
-        """Return content type and body of the metrics page."""
+        """Return the content type and the body of the metrics page."""
 
 
 TELEMETRY: ComponentKey[Telemetry] = ComponentKey("telemetry")
--- a/packages/router/src/lacewingspar_router/components/telemetry/recorded_spans.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/recorded_spans.py
@@ -1,4 +1,4 @@
-"""Spans that are recorded and exported with the OpenTelemetry SDK."""
+"""Records spans and exports them with the OpenTelemetry SDK."""
 
 import asyncio
 import json
@@ -40,7 +40,7 @@
 
 
 class JsonLinesExporter(SpanExporter):
-    """Appends spans to a file as JSON lines, called by the SDK's thread.
+    """Appends spans to a file as JSON lines, in the export thread of the SDK.
 
     Args:
         path: The file.
@@ -69,11 +69,11 @@
 
 
 class RecordedSpans:
-    """Records spans and exports them in a thread of the SDK.
+    """Records spans and exports them in the export thread of the SDK.
 
     Args:
         router_id: Name of this router.
-        exporters: Where the spans go.
+        exporters: Exporters that receive every span.
     """
 
     def __init__(
@@ -106,12 +106,12 @@
         )
 
     async def async_close(self) -> None:
-        """Write the spans that wait, and end."""
+        """Export the remaining spans and shut down."""
         await asyncio.to_thread(self._provider.shutdown)
 
 
 def recorded_spans(settings: Settings) -> RecordedSpans:
-    """Return spans that go where the settings say.
+    """Return a span source with the exporters that the settings select.
 
     Raises:
         ComponentSetupError: The trace file cannot be written.
@@ -125,7 +125,7 @@
 
 
 class _SpanBlock:
-    """Ends a span with its block."""
+    """Context manager that ends a span when its block ends."""
 
     def __init__(self, span: Span) -> None:
         self._span = span
--- a/packages/router/src/lacewingspar_router/components/telemetry/spans.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/spans.py
@@ -1,4 +1,4 @@
-"""Spans of this router."""
+"""Sources of the spans of this router."""
 
 from contextlib import AbstractContextManager, nullcontext
 from functools import lru_cache
@@ -11,7 +11,7 @@
 
 
 class SpanSource(Protocol):
-    """Makes spans."""
+    """Creates spans."""
 
     def span(
         self, name: str, trace_parent: str | None, attributes: dict[str, str]
@@ -19,11 +19,11 @@
         """Return a span whose context manager yields its `traceparent`."""
 
     async def async_close(self) -> None:
-        """Write the spans that wait, and end."""
+        """Export the remaining spans and shut down."""
 
 
 class UnrecordedSpans:
-    """Passes trace contexts on without recording spans."""
+    """Propagates trace contexts without recording spans."""
 
     def span(
         self,
@@ -31,9 +31,9 @@
         trace_parent: str | None,
         attributes: dict[str, str],  # noqa: ARG002
     ) -> AbstractContextManager[str]:
-        """Return the caller's context, or a new one without a caller's."""
-        # No span of this router appears in the trace, so the caller's context
-        # stays the parent of what follows.
+        """Return the caller's context, or a new one if it is not valid."""
+        # This router adds no span to the trace, so the caller's span stays the
+        # parent of the spans of later hops.
         header = _checked_header(trace_parent) if trace_parent else None
         return nullcontext(header or new_context().header())
 
@@ -41,7 +41,7 @@
         """Do nothing."""
 
 
-# Each request asks for its context once per hop.
+# The same header is parsed for each hop of a request.
 @lru_cache(maxsize=1024)
 def _checked_header(trace_parent: str) -> str | None:
     context = parse_trace_parent(trace_parent)
--- a/packages/router/src/lacewingspar_router/components/telemetry/telemetry.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/telemetry.py
@@ -10,7 +10,7 @@
     """Counters, gauges and spans of this router.
 
     Args:
-        spans: Makes the spans.
+        spans: Source of the spans.
     """
 
     def __init__(self, spans: SpanSource) -> None:
@@ -40,5 +40,5 @@
         return self._spans.span(name, trace_parent, attributes)
 
     def render(self) -> tuple[str, bytes]:
-        """Return content type and body of the metrics page."""
+        """Return the content type and the body of the metrics page."""
         return self._metrics.render()
--- a/packages/router/src/lacewingspar_router/components/telemetry/trace_context.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/trace_context.py
@@ -35,7 +35,7 @@
 
 
 def parse_trace_parent(value: str | None) -> TraceContext | None:
-    """Return the context that a header carries, or None if it is invalid."""
+    """Parse a `traceparent` header; return None if it is invalid."""
     match = _TRACE_PARENT.fullmatch(value) if value else None
     if match is None:
         return None
--- a/packages/router/src/lacewingspar_router/components/vm_list/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/vm_list/__init__.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of live and leaving VMs."""
+"""Polls the platform's list of live and leaving VMs."""
 
 import asyncio
 
@@ -16,10 +16,10 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Start to poll the VM list.
+    """Start polling the VM list.
 
-    Set-up does not wait for the first list, so that a data centre that is
-    partitioned from the platform can start routers.
+    Set-up does not wait for the first list, so that routers can start in a
+    data centre that is partitioned from the platform.
     """
     base_url = map_url(app.settings.vm_list_url, app.settings.address_map)
     client = httpx.AsyncClient(timeout=POLL_TIMEOUT_SECONDS, trust_env=False)
--- a/packages/router/src/lacewingspar_router/components/vm_list/const.py
+++ b/packages/router/src/lacewingspar_router/components/vm_list/const.py
@@ -4,8 +4,8 @@
 VMS_PATH = "/vms"
 
 POLL_INTERVAL_SECONDS = 0.5
-# Slower answers would leave too little of the 3 s in which a leaving upstream
-# stops getting new work.
+# A slower response would leave too little of the 3 s within which the router
+# stops sending new work to a leaving upstream.
 POLL_TIMEOUT_SECONDS = 1.0
-# Some 520 VMs are replaced a day; this covers a week.
+# About 520 VMs are replaced per day, so this covers a week.
 MAXIMUM_DEPARTED_VMS = 4096
--- a/packages/router/src/lacewingspar_router/components/vm_list/errors.py
+++ b/packages/router/src/lacewingspar_router/components/vm_list/errors.py
@@ -4,4 +4,4 @@
 
 
 class VmListReadError(RouterError):
-    """The platform did not answer with a valid VM list."""
+    """The platform did not return a valid VM list."""
--- a/packages/router/src/lacewingspar_router/components/vm_list/models.py
+++ b/packages/router/src/lacewingspar_router/components/vm_list/models.py
@@ -7,14 +7,14 @@
 
 
 class VmListView(Protocol):
-    """The platform's VM list as last read."""
+    """The VM list that was last read from the platform."""
 
     @property
     def leaving_vms(self) -> frozenset[str]:
         """Return the names of VMs that are about to leave."""
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change."""
+        """Call a function whenever the leaving VMs change."""
 
 
 VM_LIST: ComponentKey[VmListView] = ComponentKey("vm_list")
--- a/packages/router/src/lacewingspar_router/components/vm_list/poller.py
+++ b/packages/router/src/lacewingspar_router/components/vm_list/poller.py
@@ -18,11 +18,11 @@
 
 
 class VmListPoller:
-    """Keeps the last VM list that the platform has answered with.
+    """Polls the VM list and keeps the names of leaving VMs.
 
     Args:
-        client: HTTP client with the timeout of one poll.
-        url: Address of the list.
+        client: HTTP client with the timeout of a poll.
+        url: URL of the list.
     """
 
     def __init__(self, client: httpx.AsyncClient, url: str) -> None:
@@ -30,22 +30,22 @@
         self._url = url
         self._listeners: list[Callable[[], None]] = []
         self._leaving_vms: frozenset[str] = frozenset()
-        # Insertion order is the order of departure.
+        # Ordered by departure, so that the oldest names can be evicted.
         self._departed_vms: dict[str, None] = {}
-        self._is_answering = True
+        self._is_readable = True
         self._etag: str | None = None
 
     @property
     def leaving_vms(self) -> frozenset[str]:
         """Return the names of VMs that are about to leave or have left.
 
-        A VM that was leaving and is no longer listed stays in this set until
-        it is listed as live, so that its upstreams get no new work.
+        A leaving VM that disappears from the list stays in this set until it
+        is listed as live again, so that its upstreams get no new work.
         """
         return self._leaving_vms
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change."""
+        """Call a function whenever the leaving VMs change."""
         self._listeners.append(listener)
 
     async def async_run(self) -> None:
@@ -55,17 +55,17 @@
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def async_poll(self) -> None:
-        """Read the list once; keep the last one if that fails."""
+        """Read the list once; keep the previous one on failure."""
         try:
             vm_list = await self._async_read()
         except VmListReadError as error:
-            if self._is_answering:
+            if self._is_readable:
                 _LOGGER.warning("VM list not readable", error=str(error))
-            self._is_answering = False
+            self._is_readable = False
             return
-        if not self._is_answering:
+        if not self._is_readable:
             _LOGGER.info("VM list readable again")
-        self._is_answering = True
+        self._is_readable = True
         if vm_list is not None:
             self._apply(vm_list)
 
@@ -73,7 +73,7 @@
         """Return the list, or None if it has not changed.
 
         Raises:
-            VmListReadError: The platform did not answer with a valid list.
+            VmListReadError: The platform did not return a valid list.
         """
         headers = {"if-none-match": self._etag} if self._etag else {}
         try:
--- a/tests/router/components/test_log_service.py
+++ b/tests/router/components/test_log_service.py
@@ -1,4 +1,4 @@
-"""Client of the log service."""
+"""Tests the client of the log service."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 async def test_waiting_appends_share_one_request(make_app, fake_log) -> None:
-    """Guards against one request per record, and against wrong offsets."""
+    """Guards against one request per append and against wrong offsets."""
     log = make_app().get(LOG_SERVICE)
     fake_log.gate.clear()
     first = asyncio.create_task(log.async_append("s", [b"a"]))
@@ -45,7 +45,7 @@
     ],
 )
 async def test_append_failures(make_app, fake_log, fault, expected) -> None:
-    """Guards against a lost reply that is taken for "not written"."""
+    """Guards against a lost reply that is reported as "not written"."""
     log = make_app().get(LOG_SERVICE)
     fake_log.append_fault = fault
     with pytest.raises(expected):
@@ -54,7 +54,7 @@
 
 
 async def test_cancelled_caller_leaves_the_batch(make_app, fake_log) -> None:
-    """Guards against one caller that ends the appends of the others."""
+    """Guards against a cancelled caller that fails the other appends."""
     log = make_app().get(LOG_SERVICE)
     fake_log.gate.clear()
     first = asyncio.create_task(log.async_append("s", [b"a"]))
--- a/tests/router/components/test_peers.py
+++ b/tests/router/components/test_peers.py
@@ -1,4 +1,4 @@
-"""Sockets between routers."""
+"""Tests the sockets between routers."""
 
 import random
 from collections.abc import AsyncIterator
@@ -14,7 +14,7 @@
 from lacewingspar_router.components.peers import const
 from lacewingspar_router.components.peers.network import ZmqPeerNetwork
 
-FORGOTTEN_AT = 60.0
+REMOVED_AT = 60.0
 
 
 def _record(name: str, address: str) -> MemberRecord:
@@ -49,10 +49,10 @@
     await network.async_unload()
 
 
-async def test_sockets_of_forgotten_routers_are_closed(
+async def test_sockets_of_removed_routers_are_closed(
     app: Any, membership: Membership, network: ZmqPeerNetwork
 ) -> None:
-    """Guards against a socket for each router that was ever replaced."""
+    """Guards against sockets that leak when routers are replaced."""
     sockets: list[int] = []
 
     def gauge(name: str, value: int, **_: str) -> None:
@@ -62,7 +62,7 @@
     app.get.return_value.gauge = gauge
     other = _record("b", "tcp://127.0.0.1:3")
     membership.merge(Heartbeat((other,)), 0.0)
-    for now in (0.0, FORGOTTEN_AT):
+    for now in (0.0, REMOVED_AT):
         app.now.return_value = now
         network.beat()
     assert sockets == [2, 1]
--- a/tests/router/components/test_quarantine.py
+++ b/tests/router/components/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Crash records and runs of suspects at several routers."""
+"""Tests crash records and runs of suspects at several routers."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 )
 from lacewingspar_router.components.upstreams.models import UPSTREAMS
 
-FAR = float("inf")
+NO_DEADLINE = float("inf")
 
 
 class FakePool:
     def __init__(self) -> None:
         self.up: set[str] = set()
-        self.cut_off: set[str] = set()
+        self.unreachable: set[str] = set()
         healthy = SimpleNamespace(state="healthy")
         self.status_by_upstream = {("s", f"u{n}"): healthy for n in range(4)}
 
@@ -32,7 +32,7 @@
 
     async def async_is_reachable(self, service: str, upstream_id: str) -> bool:
         del service
-        return upstream_id not in self.cut_off
+        return upstream_id not in self.unreachable
 
 
 def subject(name: str) -> models.Subject:
@@ -56,7 +56,7 @@
 
 
 async def crash(router: Any, upstream_id: str, *names: str) -> None:
-    """Let an upstream crash under some requests."""
+    """Crash an upstream that runs the named requests."""
     runs = [
         await router.crashes.async_begin(subject(name), upstream_id)
         for name in names
@@ -67,7 +67,7 @@
 
 
 async def test_quarantine_reaches_all_routers(start, until) -> None:
-    """Guards against a request that is refused at one router only."""
+    """Guards against a quarantine that only one router applies."""
     first, second = await start("r1"), await start("r2")
     await crash(first, "u1", "x", "a")
     await until(lambda: second.crashes.is_suspect(subject("x")))
@@ -83,11 +83,13 @@
         assert not router.crashes.refused_seconds(subject("a"))
 
 
-async def test_what_is_no_crash(start) -> None:
-    """Guards against suspects from a cut, a partition or a planned shutdown."""
+async def test_breaks_without_a_crash_make_no_suspects(start) -> None:
+    """Guards against suspects without a crash.
+
+    Connections also break on aborts, partitions and planned shutdowns."""
     router = await start("r1")
     router.pool.up.add("u1")
-    router.pool.cut_off.add("u3")
+    router.pool.unreachable.add("u3")
     leaving = SimpleNamespace(state="leaving")
     router.pool.status_by_upstream["s", "u2"] = leaving
     for upstream_id in ("u1", "u2", "u3", "removed"):
@@ -107,7 +109,9 @@
 
 
 async def test_suspects_of_two_routers_run_apart(start, until) -> None:
-    """Guards against suspects that are found guilty together."""
+    """Guards against suspects that share an upstream.
+
+    A crash would count against both."""
     first, second = await start("r1"), await start("r2")
     await crash(first, "u1", "x", "a")
     await until(lambda: second.crashes.is_suspect(subject("a")))
@@ -117,10 +121,12 @@
     )
     assert [run is not None for run in begun] == [True, False]
     wait = second.crashes.async_busy_upstreams
-    assert await wait(subject("a"), lambda: {"u2", "u3"}, FAR) == {"u2"}
+    assert await wait(subject("a"), lambda: {"u2", "u3"}, NO_DEADLINE) == {"u2"}
     with pytest.raises(NoUpstreamForSuspectError):
         await wait(subject("a"), lambda: {"u2"}, 0.0)
-    waiting = asyncio.create_task(wait(subject("a"), lambda: {"u2"}, FAR))
+    waiting = asyncio.create_task(
+        wait(subject("a"), lambda: {"u2"}, NO_DEADLINE)
+    )
     await asyncio.sleep(0)
     first.crashes.end(begun[0], is_left=False)
     assert await waiting == frozenset()
@@ -129,7 +135,7 @@
 async def test_request_whose_caller_left_stays_a_suspect(
     start, until, monkeypatch
 ) -> None:
-    """Guards against callers that hide a crash by leaving before it."""
+    """Guards against a crash that is missed because its caller left."""
     monkeypatch.setattr(registry, "LEFT_RUN_SECONDS", 0.01)
     router = await start("r1")
     run = await router.crashes.async_begin(subject("x"), "u1")
--- a/tests/router/components/test_vm_list.py
+++ b/tests/router/components/test_vm_list.py
@@ -1,4 +1,4 @@
-"""VM list component."""
+"""Tests the VM list component."""
 
 import asyncio
 
@@ -13,35 +13,35 @@
 
 
 def _list(states: str) -> httpx.Response:
-    """Return the answer for a text such as `a=live b=leaving`."""
+    """Return the response for a text such as `a=live b=leaving`."""
     pairs = [item.split("=") for item in states.split()]
     vms = [{"name": n, "data_centre": "d", "state": s} for n, s in pairs]
     return httpx.Response(200, json={"vms": vms})
 
 
 async def _read(
-    *answers: httpx.Response | Exception,
+    *responses: httpx.Response | Exception,
 ) -> tuple[frozenset[str], int]:
-    """Return the leaving VMs after all answers and the listener's calls."""
-    remaining, calls = list(answers), []
+    """Return the leaving VMs after all responses and the listener's calls."""
+    remaining, calls = list(responses), []
 
-    def answer(_: httpx.Request) -> httpx.Response:
+    def respond(_: httpx.Request) -> httpx.Response:
         item = remaining.pop(0)
         if isinstance(item, Exception):
             raise item
         return item
 
-    client = httpx.AsyncClient(transport=httpx.MockTransport(answer))
+    client = httpx.AsyncClient(transport=httpx.MockTransport(respond))
     poller = poller_module.VmListPoller(client, "http://platform/vms")
     poller.add_listener(lambda: 1 // 0)
     poller.add_listener(lambda: calls.append(1))
-    for _ in answers:
+    for _ in responses:
         await poller.async_poll()
     return poller.leaving_vms, len(calls)
 
 
 @pytest.mark.parametrize(
-    ("answer", "leaving", "calls"),
+    ("response", "leaving", "calls"),
     [
         (_list("a=leaving b=live"), {"a"}, 1),
         (_list("a=leaving b=leaving"), {"a", "b"}, 2),
@@ -52,27 +52,28 @@
         (httpx.ConnectError("refused"), {"a"}, 1),
     ],
 )
-async def test_second_answer(
-    answer: httpx.Response | Exception, leaving: set[str], calls: int
+async def test_second_response(
+    response: httpx.Response | Exception, leaving: set[str], calls: int
 ) -> None:
-    """Guards against a lost list and new work for a VM that has left.
+    """Guards against a failed poll that discards the list.
 
-    A listener that fails must not keep the next one from being called.
+    A leaving VM that is no longer listed must not get new work, and a listener
+    that fails must not prevent the call of the next one.
     """
     first = _list("a=leaving b=live")
-    assert await _read(first, answer) == (leaving, calls)
+    assert await _read(first, response) == (leaving, calls)
 
 
 @pytest.mark.parametrize("etag", ['"v1"', None])
 async def test_unchanged_list_is_not_sent_again(etag: str | None) -> None:
-    """Guards against reading the whole list twice a second.
+    """Guards against a transfer of the whole list twice a second.
 
-    A platform without entity tags must still be read in full, and a list that
-    cannot be decoded must not count as known.
+    Without entity tags the list must still be read in full. The entity tag of a
+    list that cannot be decoded must not be used.
     """
     sent: list[str | None] = []
     head = {"etag": etag} if etag else {}
-    answers = [
+    responses = [
         httpx.Response(200, headers={"etag": '"v0"'}, json={"vms": [{}]}),
         httpx.Response(
             200, headers=head, json=_list("a=leaving b=live").json()
@@ -81,11 +82,11 @@
         _list("a=leaving b=leaving"),
     ]
 
-    def answer(request: httpx.Request) -> httpx.Response:
+    def respond(request: httpx.Request) -> httpx.Response:
         sent.append(request.headers.get("if-none-match"))
-        return answers.pop(0)
+        return responses.pop(0)
 
-    client = httpx.AsyncClient(transport=httpx.MockTransport(answer))
+    client = httpx.AsyncClient(transport=httpx.MockTransport(respond))
     poller = poller_module.VmListPoller(client, "http://platform/vms")
     for leaving in (set(), {"a"}, {"a"}, {"a", "b"}):
         await poller.async_poll()
@@ -96,14 +97,14 @@
 async def test_departed_vms_are_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against growth while VMs are replaced."""
+    """Guards against unbounded memory while VMs are replaced."""
     monkeypatch.setattr(poller_module, "MAXIMUM_DEPARTED_VMS", 2)
     leaving, _ = await _read(*[_list(f"v{n}=leaving") for n in range(4)])
     assert leaving == {"v1", "v2", "v3"}
 
 
 async def test_component_polls_through_the_address_map() -> None:
-    """Guards against set-up that leaves a task or ignores the settings."""
+    """Guards against a leaked task and an ignored `address_map`."""
     body = _list("a=leaving").content
 
     async def serve(
--- a/tests/router/test_line_writer.py
+++ b/tests/router/test_line_writer.py
@@ -1,4 +1,4 @@
-"""Log lines that never wait for a reader."""
+"""Tests that log lines are written without blocking."""
 
 import os
 from collections.abc import Iterator
@@ -37,7 +37,7 @@
 def test_lines_beyond_the_rate_are_dropped_and_counted(
     pipe: tuple[int, int],
 ) -> None:
-    """Guards against a log that takes the processor in an outage."""
+    """Guards against log lines that use up the processor in an outage."""
     now = 0.0
     writer = LineWriter(pipe[1], "r1", lambda: now)
     lines: list[bytes] = []
@@ -58,7 +58,7 @@
 def test_reader_that_does_not_read_blocks_nothing(
     pipe: tuple[int, int],
 ) -> None:
-    """Guards against a router that stops when nobody reads its log."""
+    """Guards against a router that blocks when its log is not read."""
     now = 0.0
     writer = LineWriter(pipe[1], "r1", lambda: now)
     for _ in range(900):
@@ -68,7 +68,7 @@
     writer.write("last")
     lines += read_lines(pipe[0])
     assert lines[-1] == b"last"
-    # Every line but the notice is whole.
+    # Every line but the one about dropped lines is complete.
     assert {line for line in lines if line[:1] == b"x"} == {LINE.encode()}
 
 
@@ -76,7 +76,7 @@
     ("is_about_request", "lines"),
     [(True, BURST_LINES - RESERVED_LINES), (False, BURST_LINES)],
 )
-def test_writer_tells_when_the_rate_leaves_no_room(
+def test_rate_limit_reserves_lines_about_the_router(
     pipe: tuple[int, int], is_about_request: bool, lines: float
 ) -> None:
     """Guards against lines about requests that displace all others."""
--- a/tests/router/test_telemetry.py
+++ b/tests/router/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Trace contexts, spans and metrics."""
+"""Tests trace contexts, spans and metrics."""
 
 import json
 from pathlib import Path
@@ -31,15 +31,15 @@
         ("", False),
     ],
 )
-def test_only_valid_trace_contexts_are_taken_over(
+def test_only_valid_trace_contexts_are_accepted(
     value: str, is_valid: bool
 ) -> None:
-    """Guards against header values that break the trace of other hops."""
+    """Guards against invalid values that are passed on to other hops."""
     assert (parse_trace_parent(value) is not None) is is_valid
 
 
 async def test_spans_reach_the_file_with_their_parents(tmp_path: Path) -> None:
-    """Guards against spans that are lost at the end of the process."""
+    """Guards against spans that are lost when the process ends."""
     file = tmp_path / "spans.jsonl"
     application = Application(settings(trace_file=str(file)))
     await telemetry.async_setup(application)
@@ -63,7 +63,7 @@
         await telemetry.async_setup(application)
 
 
-async def test_trace_goes_through_without_an_exporter() -> None:
+async def test_trace_context_is_propagated_without_an_exporter() -> None:
     application = Application(settings())
     await telemetry.async_setup(application)
     component = application.get(TELEMETRY)
