--- a/packages/ctl/src/lacewingspar_ctl/answers.py
+++ b/packages/ctl/src/lacewingspar_ctl/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the administration API."""
+"""Responses of the administration API."""
 
 from typing import Any
 
@@ -7,8 +7,8 @@
 from lacewingspar_core.document_problems import DocumentProblem
 
 
-class ServiceAnswer(msgspec.Struct, frozen=True):
-    """The document of a service that is in force."""
+class ServiceResponse(msgspec.Struct, frozen=True):
+    """The active document of a service."""
 
     service: str
     version: int
@@ -16,14 +16,14 @@
 
 
 class EditRecord(msgspec.Struct, frozen=True):
-    """An edit that the router knows.
+    """An edit that is known to the router.
 
     Attributes:
-        version: Version that the edit made, or that was in force when it was
-            not accepted.
-        edit_id: Identity of the edit.
-        author: Who made it.
-        accepted: Whether it took effect.
+        version: Version that the edit created, or the active version if the
+            edit was not accepted.
+        edit_id: Id of the edit.
+        author: Author of the edit.
+        accepted: Whether the edit took effect.
     """
 
     version: int
@@ -32,20 +32,20 @@
     accepted: bool
 
 
-class HistoryAnswer(msgspec.Struct, frozen=True):
+class HistoryResponse(msgspec.Struct, frozen=True):
     """Edits of a service."""
 
     edits: tuple[EditRecord, ...]
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The edit is in force."""
+    """The edit took effect."""
 
     version: int
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Another edit came first."""
+    """Another edit was accepted first."""
 
     current_version: int
     other_edit_id: str
@@ -53,11 +53,11 @@
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """Nobody knows yet whether the edit took effect.
+    """It is not yet known whether the edit took effect.
 
     Attributes:
-        edit_id: Identity of the edit.
-        reason: Why it is not known.
+        edit_id: Id of the edit.
+        reason: Why the outcome is unknown.
     """
 
     edit_id: str
@@ -65,22 +65,22 @@
 
 
 class Invalid(msgspec.Struct, frozen=True):
-    """The router found mistakes in the document."""
+    """The router found problems in the document."""
 
     problems: tuple[DocumentProblem, ...]
 
 
-PublishAnswer = Accepted | Conflict | Unknown | Invalid
+PublishResult = Accepted | Conflict | Unknown | Invalid
 
 
 class ErrorDetail(msgspec.Struct, frozen=True):
-    """Reason of a refusal."""
+    """Reason of an error response."""
 
     code: str
     message: str
 
 
-class ErrorAnswer(msgspec.Struct, frozen=True):
-    """A refusal."""
+class ErrorResponse(msgspec.Struct, frozen=True):
+    """An error response."""
 
     error: ErrorDetail
--- a/packages/ctl/src/lacewingspar_ctl/client.py
+++ b/packages/ctl/src/lacewingspar_ctl/client.py
@@ -11,11 +11,11 @@
 from lacewingspar_ctl.answers import (
     Accepted,
     Conflict,
-    ErrorAnswer,
-    HistoryAnswer,
+    ErrorResponse,
+    HistoryResponse,
     Invalid,
-    PublishAnswer,
-    ServiceAnswer,
+    PublishResult,
+    ServiceResponse,
     Unknown,
 )
 from lacewingspar_ctl.errors import (
@@ -27,20 +27,20 @@
 )
 
 CONNECT_TIMEOUT_SECONDS = 3.0
-# A router answers a publish only after it has read the edit back from the log
+# A router responds to a publish only after reading the edit back from the log
 # service, which has slow periods.
-ANSWER_TIMEOUT_SECONDS = 30.0
+RESPONSE_TIMEOUT_SECONDS = 30.0
 
 _T = TypeVar("_T")
 
-# The connection was never made, so the router cannot have seen the request.
+# Errors before a connection exists, so the router has not received the request.
 _NOT_SENT_ERRORS = (
     httpx.ConnectError,
     httpx.ConnectTimeout,
     httpx.PoolTimeout,
 )
-# A server that answers these has not acted. Other server errors may come from
-# a router that failed while it acted.
+# Server errors that mean that the request had no effect. Others may come from a
+# router that failed while processing the request.
 _NO_EFFECT_STATUSES = frozenset({501, 503})
 _BAD_INPUT_STATUSES = frozenset({400, 404, 405, 413, 422})
 
@@ -51,7 +51,7 @@
     Args:
         router_url: Base URL of the administration address.
         token: Administration token.
-        transport: Replaces the network in tests.
+        transport: Transport that replaces the network in tests.
     """
 
     def __init__(
@@ -60,13 +60,13 @@
         token: str,
         transport: httpx.BaseTransport | None = None,
     ) -> None:
-        # Routers are reached directly; the environment's proxies must not
+        # Proxies from environment variables are ignored, since they must not
         # receive the token.
         self._client = httpx.Client(
             base_url=router_url,
             headers={"Authorization": f"Bearer {token}"},
             timeout=httpx.Timeout(
-                ANSWER_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS
+                RESPONSE_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS
             ),
             transport=transport,
             trust_env=False,
@@ -83,27 +83,27 @@
     ) -> None:
         self._client.close()
 
-    def service(self, name: str) -> ServiceAnswer:
-        """Return the document of a service that is in force."""
-        return self._read(_service_path(name), ServiceAnswer)
+    def service(self, name: str) -> ServiceResponse:
+        """Return the active document of a service."""
+        return self._read(_service_path(name), ServiceResponse)
 
     def version(self, name: str) -> int:
-        """Return the version of a service that is in force, 0 for none."""
+        """Return the active version of a service, or 0 for none."""
         response = self._send("GET", _service_path(name))
         if response.status_code == httpx.codes.NOT_FOUND:
             return 0
-        return _decode_success(response, ServiceAnswer).version
+        return _decode_success(response, ServiceResponse).version
 
-    def history(self, name: str) -> HistoryAnswer:
+    def history(self, name: str) -> HistoryResponse:
         """Return the edits of a service."""
-        return self._read(f"{_service_path(name)}/history", HistoryAnswer)
+        return self._read(f"{_service_path(name)}/history", HistoryResponse)
 
     def status(self) -> Any:
         """Return the status of the router."""
         return self._read("/v1/status", Any)
 
     def accounts(self) -> Any:
-        """Return the service that each workspace received."""
+        """Return the amount of service that each workspace received."""
         return self._read("/v1/accounts", Any)
 
     def request(self, request_id: str) -> Any:
@@ -111,7 +111,7 @@
         return self._read(f"/v1/requests/{quote(request_id, safe='')}", Any)
 
     def drain(self) -> Any:
-        """Begin a graceful shutdown of the router."""
+        """Start a graceful shutdown of the router."""
         return _decode_change(self._send("POST", "/v1/drain"))
 
     def publish(
@@ -122,7 +122,7 @@
         base_version: int,
         author: str,
         document: Mapping[str, Any],
-    ) -> PublishAnswer:
+    ) -> PublishResult:
         """Publish a document.
 
         Raises:
@@ -137,12 +137,12 @@
         }
         try:
             response = self._send("PUT", _service_path(service), body)
-            return _publish_answer(response)
+            return _decode_publish_result(response)
         except UnknownOutcomeError as error:
             return Unknown(edit_id, str(error))
 
-    def _read(self, path: str, answer_type: type[_T]) -> _T:
-        return _decode_success(self._send("GET", path), answer_type)
+    def _read(self, path: str, response_type: type[_T]) -> _T:
+        return _decode_success(self._send("GET", path), response_type)
 
     def _send(self, method: str, path: str, body: Any = None) -> httpx.Response:
         try:
@@ -150,7 +150,7 @@
         except _NOT_SENT_ERRORS as error:
             raise RouterUnreachableError("unreachable", str(error)) from error
         except httpx.HTTPError as error:
-            reason = f"no answer from the router: {error}"
+            reason = f"no response from the router: {error}"
             if method == "GET":
                 raise RouterUnreachableError("no_answer", reason) from error
             raise UnknownOutcomeError("no_answer", reason) from error
@@ -160,38 +160,38 @@
     return f"/v1/services/{quote(name, safe='')}"
 
 
-def _publish_answer(response: httpx.Response) -> PublishAnswer:
-    answer_types: dict[int, type[PublishAnswer]] = {
+def _decode_publish_result(response: httpx.Response) -> PublishResult:
+    response_type_by_status: dict[int, type[PublishResult]] = {
         200: Accepted,
         202: Unknown,
         409: Conflict,
         422: Invalid,
     }
-    answer_type = answer_types.get(response.status_code)
-    if answer_type is None:
+    response_type = response_type_by_status.get(response.status_code)
+    if response_type is None:
         raise _change_error(response)
     try:
-        return msgspec.json.decode(response.content, type=answer_type)
+        return msgspec.json.decode(response.content, type=response_type)
     except msgspec.MsgspecError as error:
         raise UnknownOutcomeError(
-            "invalid_answer", f"answer not understood: {error}"
+            "invalid_answer", f"cannot decode the response: {error}"
         ) from error
 
 
-def _decode_success(response: httpx.Response, answer_type: type[_T]) -> _T:
-    """Return the answer to a read."""
+def _decode_success(response: httpx.Response, response_type: type[_T]) -> _T:
+    """Decode the response to a read."""
     if not response.is_success:
         raise _refusal(response)
     try:
-        return msgspec.json.decode(response.content, type=answer_type)
+        return msgspec.json.decode(response.content, type=response_type)
     except msgspec.MsgspecError as error:
         raise RefusedError(
-            "invalid_answer", f"answer not understood: {error}"
+            "invalid_answer", f"cannot decode the response: {error}"
         ) from error
 
 
 def _decode_change(response: httpx.Response) -> Any:
-    """Return the answer to a request that changes something."""
+    """Decode the response to a request that changes something."""
     if not response.is_success:
         raise _change_error(response)
     if not response.content:
@@ -200,12 +200,12 @@
         return msgspec.json.decode(response.content)
     except msgspec.MsgspecError as error:
         raise UnknownOutcomeError(
-            "invalid_answer", f"answer not understood: {error}"
+            "invalid_answer", f"cannot decode the response: {error}"
         ) from error
 
 
 def _change_error(response: httpx.Response) -> CtlError:
-    """Return the error of a change, unknown unless surely without effect."""
+    """Return the error of a change, whose outcome may be unknown."""
     status = response.status_code
     if status < 500 or status in _NO_EFFECT_STATUSES:
         return _refusal(response)
@@ -216,10 +216,13 @@
 def _refusal(response: httpx.Response) -> CtlError:
     status = response.status_code
     try:
-        detail = msgspec.json.decode(response.content, type=ErrorAnswer).error
+        detail = msgspec.json.decode(response.content, type=ErrorResponse).error
         code, message = detail.code, detail.message
     except msgspec.MsgspecError:
-        code, message = f"http_{status}", f"the router answered {status}"
+        code, message = (
+            f"http_{status}",
+            f"the router responded with status {status}",
+        )
     if status in _BAD_INPUT_STATUSES:
         return BadInputError(code, message)
     return RefusedError(code, message)
--- a/packages/ctl/src/lacewingspar_ctl/commands/documents.py
+++ b/packages/ctl/src/lacewingspar_ctl/commands/documents.py
@@ -30,29 +30,29 @@
     context: typer.Context,
     service: ServiceArgument,
     with_version: Annotated[
-        bool, typer.Option(help="Show the version, too.")
+        bool, typer.Option(help="Also show the version.")
     ] = False,
 ) -> None:
-    """Show the document of a service that is in force."""
+    """Show the active document of a service."""
     session = session_of(context)
     with session.client() as client:
-        answer = client.service(service)
+        response = client.service(service)
     if with_version and session.output.as_json:
-        session.output.json(answer)
+        session.output.json(response)
         return
     if with_version:
-        # A comment, so that the output can be edited and published.
-        session.output.line(f"// version {answer.version}")
-    session.output.json(answer.document)
+        # Written as a comment, so that the output can be edited and published.
+        session.output.line(f"// version {response.version}")
+    session.output.json(response.document)
 
 
 def history(context: typer.Context, service: ServiceArgument) -> None:
     """Show the edits of a service."""
     session = session_of(context)
     with session.client() as client:
-        answer = client.history(service)
+        response = client.history(service)
     if session.output.as_json:
-        session.output.json(answer)
+        session.output.json(response)
         return
     session.output.table(
         f"Edits of {service}",
@@ -64,7 +64,7 @@
                 edit.author,
                 "yes" if edit.accepted else "no",
             )
-            for edit in answer.edits
+            for edit in response.edits
         ],
     )
 
@@ -72,29 +72,29 @@
 def diff(
     context: typer.Context, service: ServiceArgument, file: FileArgument
 ) -> None:
-    """Compare the document of a service that is in force with a file."""
+    """Compare the active document of a service with a file."""
     session = session_of(context)
     document = read_document(file)
     if document.service != service:
         message = f"{file} describes service {document.service}, not {service}"
         raise BadInputError("other_service", message)
     with session.client() as client:
-        answer = client.service(service)
-    found = list(differences(answer.document, dump_document(document)))
+        response = client.service(service)
+    found = list(differences(response.document, dump_document(document)))
     if session.output.as_json:
         session.output.json(
             {
                 "service": service,
-                "version": answer.version,
+                "version": response.version,
                 "differences": msgspec.to_builtins(found),
             }
         )
         return
     if not found:
-        session.output.line(f"no difference to version {answer.version}")
+        session.output.line(f"no difference to version {response.version}")
         return
     session.output.table(
-        f"Differences to version {answer.version} of {service}",
-        ("path", "in force", "file"),
+        f"Differences to version {response.version} of {service}",
+        ("path", "active", "file"),
         [(item.path, item.old, item.new) for item in found],
     )
--- a/packages/ctl/src/lacewingspar_ctl/commands/fleet.py
+++ b/packages/ctl/src/lacewingspar_ctl/commands/fleet.py
@@ -15,19 +15,19 @@
 
 
 def accounts(context: typer.Context) -> None:
-    """Show the service that each workspace received."""
+    """Show the amount of service that each workspace received."""
     session = session_of(context)
     with session.client() as client:
         session.output.value("Accounts", client.accounts())
 
 
 def drain(context: typer.Context) -> None:
-    """Begin a graceful shutdown of the router."""
+    """Start a graceful shutdown of the router."""
     session = session_of(context)
     with session.client() as client:
-        answer = client.drain()
+        response = client.drain()
     if session.output.as_json:
-        session.output.json(answer)
+        session.output.json(response)
     else:
         session.output.line(f"drain started at {session.router}")
 
--- a/packages/ctl/src/lacewingspar_ctl/commands/publish.py
+++ b/packages/ctl/src/lacewingspar_ctl/commands/publish.py
@@ -13,7 +13,7 @@
     Accepted,
     Conflict,
     Invalid,
-    PublishAnswer,
+    PublishResult,
     Unknown,
 )
 from lacewingspar_ctl.client import AdminClient
@@ -35,19 +35,19 @@
         typer.Option(
             min=0,
             help="Version that the document is based on, 0 for a new service. "
-            "Without it the version in force is read first, and edits made "
-            "since the file was written are not noticed.",
+            "By default the active version is read first, and edits made "
+            "since the file was written are not detected.",
         ),
     ] = None,
     edit_id: Annotated[
         str | None,
-        typer.Option(help="Identity of the edit; a repeat needs the same."),
+        typer.Option(help="Id of the edit; use the same id to repeat it."),
     ] = None,
     author: Annotated[
         str | None,
         typer.Option(
             envvar=ENV_AUTHOR,
-            help="Who makes the edit; by default the login name.",
+            help="Author of the edit; by default the login name.",
         ),
     ] = None,
 ) -> None:
@@ -59,9 +59,9 @@
     with session.client() as client:
         if base_version is None:
             base_version = _read_version(client, document.service, session)
-        # An interrupted command can be repeated only if the id is known.
+        # Printed first, so that an interrupted command can be repeated.
         session.output.notice(f"publishing as edit {edit_id}")
-        answer = client.publish(
+        result = client.publish(
             document.service,
             edit_id=edit_id,
             base_version=base_version,
@@ -69,13 +69,13 @@
             document=dump_document(document),
         )
     repeat = _repeat_command(session, file, base_version, edit_id, author)
-    code = _report(session.output, document.service, answer, repeat)
+    code = _report(session.output, document.service, result, repeat)
     raise typer.Exit(code)
 
 
 def _read_version(client: AdminClient, service: str, session: Session) -> int:
     version = client.version(service)
-    origin = "in force now" if version else "the service is new"
+    origin = "active now" if version else "the service is new"
     session.output.notice(f"base version is {version} ({origin})")
     return version
 
@@ -91,7 +91,7 @@
 def _repeat_command(
     session: Session, file: Path, base_version: int, edit_id: str, author: str
 ) -> str:
-    """Return the command that repeats an edit; the token stays out of it."""
+    """Return the command that repeats an edit, without the token."""
     return shlex.join(
         [
             "lacewingsparctl",
@@ -107,72 +107,72 @@
 
 
 def _report(
-    output: Output, service: str, answer: PublishAnswer, repeat: str
+    output: Output, service: str, result: PublishResult, repeat: str
 ) -> ExitCode:
-    match answer:
+    match result:
         case Accepted():
-            return _report_accepted(output, service, answer)
+            return _report_accepted(output, service, result)
         case Conflict():
-            return _report_conflict(output, service, answer)
+            return _report_conflict(output, service, result)
         case Unknown():
-            return _report_unknown(output, service, answer, repeat)
+            return _report_unknown(output, service, result, repeat)
         case Invalid():
-            raise InvalidDocumentError(answer.problems)
+            raise InvalidDocumentError(result.problems)
 
 
 def _report_accepted(
-    output: Output, service: str, answer: Accepted
+    output: Output, service: str, result: Accepted
 ) -> ExitCode:
     if output.as_json:
         output.json(
             {
                 "outcome": "accepted",
                 "service": service,
-                "version": answer.version,
+                "version": result.version,
             }
         )
     else:
-        output.line(f"accepted: {service} is at version {answer.version}")
+        output.line(f"accepted: {service} is at version {result.version}")
     return ExitCode.DONE
 
 
 def _report_conflict(
-    output: Output, service: str, answer: Conflict
+    output: Output, service: str, result: Conflict
 ) -> ExitCode:
     if output.as_json:
         output.json(
             {
                 "outcome": "conflict",
                 "service": service,
-                "current_version": answer.current_version,
-                "other_edit_id": answer.other_edit_id,
-                "other_author": answer.other_author,
+                "current_version": result.current_version,
+                "other_edit_id": result.other_edit_id,
+                "other_author": result.other_author,
             }
         )
     else:
         output.line(
-            f"conflict: {service} is at version {answer.current_version}, "
-            f"made by {answer.other_author} in edit {answer.other_edit_id}; "
+            f"conflict: {service} is at version {result.current_version}, "
+            f"made by {result.other_author} in edit {result.other_edit_id}; "
             "nothing was changed"
         )
     return ExitCode.CONFLICT
 
 
 def _report_unknown(
-    output: Output, service: str, answer: Unknown, repeat: str
+    output: Output, service: str, result: Unknown, repeat: str
 ) -> ExitCode:
     if output.as_json:
         output.json(
             {
                 "outcome": "unknown",
                 "service": service,
-                "edit_id": answer.edit_id,
-                "reason": answer.reason,
+                "edit_id": result.edit_id,
+                "reason": result.reason,
                 "repeat": repeat,
             }
         )
     else:
-        output.line(f"unknown: edit {answer.edit_id}: {answer.reason}")
+        output.line(f"unknown: edit {result.edit_id}: {result.reason}")
         output.line("It is safe to repeat the edit with the same file:")
         output.line(f"  {repeat}")
     return ExitCode.UNKNOWN_OUTCOME
--- a/packages/ctl/src/lacewingspar_ctl/commands/replay.py
+++ b/packages/ctl/src/lacewingspar_ctl/commands/replay.py
@@ -17,7 +17,7 @@
     file: Annotated[Path, typer.Argument(help="Trace as JSON lines.")],
     outcome: Annotated[
         Path | None,
-        typer.Option(help="Stated outcome as JSON; default is none."),
+        typer.Option(help="Expected outcome as JSON."),
     ] = None,
 ) -> None:
     """Replay a trace and compare decisions with the recorded ones."""
@@ -26,9 +26,9 @@
     output.json(replayed)
     if replayed.mismatch is not None:
         raise RefusedError(
-            "mismatch", f"step {replayed.mismatch.step} decides differently"
+            "mismatch", f"the decision of step {replayed.mismatch.step} differs"
         )
-    if outcome is not None and _stated(outcome) != replayed:
+    if outcome is not None and _read_outcome(outcome) != replayed:
         raise RefusedError("outcome", f"the outcome differs from {outcome}")
 
 
@@ -43,7 +43,7 @@
     return replay(header, steps)
 
 
-def _stated(file: Path) -> ReplayOutcome:
+def _read_outcome(file: Path) -> ReplayOutcome:
     try:
         return msgspec.json.decode(file.read_bytes(), type=ReplayOutcome)
     except (OSError, msgspec.MsgspecError) as error:
--- a/packages/ctl/src/lacewingspar_ctl/commands/story.py
+++ b/packages/ctl/src/lacewingspar_ctl/commands/story.py
@@ -1,4 +1,4 @@
-"""Command that tells what happened to one request, from routers' logs."""
+"""Command that shows what happened to a request, from routers' logs."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -11,10 +11,10 @@
 from lacewingspar_ctl.errors import BadInputError
 from lacewingspar_ctl.session import session_of
 
-# Changes of belief this long before a request may explain it: the longest time
-# that a router goes on with a list of upstreams which it cannot confirm.
+# A state change this long before a request may explain its outcome: a router
+# keeps using a list of upstreams that it cannot confirm for at most this time.
 DEFAULT_BEFORE_SECONDS = 5.0
-# Fields of a request's lines that name a router or an upstream.
+# Fields that name a router or an upstream in the lines of a request.
 _NAMING_FIELDS = ("router", "owner", "upstream", "fetch_from")
 # Fields that every line has; they are shown in columns of their own.
 _COMMON_FIELDS = frozenset({"timestamp", "router", "event", "level"})
@@ -37,25 +37,25 @@
         float,
         typer.Option(
             min=0.0,
-            help="Also show what the routers that took part have learned "
-            "about each other and the upstreams this many seconds before.",
+            help="Also show what the involved routers logged about each other "
+            "and the upstreams in this many seconds before the request.",
         ),
     ] = DEFAULT_BEFORE_SECONDS,
 ) -> None:
-    """Print the lines about one request in order of time."""
+    """Print the log lines about one request in chronological order."""
     output = session_of(context).output
     lines = sorted(_read(files), key=lambda line: line.at)
-    own = [
+    request_lines = [
         line for line in lines if line.fields.get("request_id") == request_id
     ]
-    if not own:
+    if not request_lines:
         raise BadInputError(
-            "unknown_request", f"no line of the logs names {request_id}"
+            "unknown_request", f"no log line has the request id {request_id}"
         )
-    shown = sorted({*_positions(lines, own, before)})
-    told = [lines[position].fields for position in shown]
+    shown_positions = sorted({*_positions(lines, request_lines, before)})
+    shown_fields = [lines[position].fields for position in shown_positions]
     if output.as_json:
-        output.json(told)
+        output.json(shown_fields)
         return
     output.table(
         f"Request {request_id}",
@@ -67,34 +67,37 @@
                 fields.get("event", ""),
                 _details(fields),
             )
-            for fields in told
+            for fields in shown_fields
         ],
     )
 
 
 def _positions(
-    lines: list[_Line], own: list[_Line], before: float
+    lines: list[_Line], request_lines: list[_Line], before: float
 ) -> Iterator[int]:
-    """Yield the lines of a request and those that may explain them."""
-    request_id = own[0].fields["request_id"]
+    """Yield the positions of a request's lines and of related lines."""
+    request_id = request_lines[0].fields["request_id"]
     names = {
         line.fields[field]
-        for line in own
+        for line in request_lines
         for field in _NAMING_FIELDS
         if line.fields.get(field)
     }
-    routers = {line.fields.get("router") for line in own} | names
-    since, until = own[0].at - timedelta(seconds=before), own[-1].at
+    routers = {line.fields.get("router") for line in request_lines} | names
+    since, until = (
+        request_lines[0].at - timedelta(seconds=before),
+        request_lines[-1].at,
+    )
     for position, (at, fields) in enumerate(lines):
         if "request_id" in fields:
             if fields["request_id"] == request_id:
                 yield position
             continue
-        is_belief_of_participant = fields.get("router") in routers and (
-            # Lines about routers and upstreams that had no part are left out.
+        is_state_change_of_participant = fields.get("router") in routers and (
+            # Omits lines about routers and upstreams that were not involved.
             not _subjects(fields) or _subjects(fields) & names
         )
-        if since <= at <= until and is_belief_of_participant:
+        if since <= at <= until and is_state_change_of_participant:
             yield position
 
 
@@ -113,7 +116,7 @@
 
 
 def _read(files: Iterable[Path]) -> Iterator[_Line]:
-    """Yield the lines that are log lines; text before them is skipped.
+    """Yield the log lines in JSON; text before them is skipped.
 
     Raises:
         BadInputError: A file cannot be read.
--- a/packages/ctl/src/lacewingspar_ctl/differences.py
+++ b/packages/ctl/src/lacewingspar_ctl/differences.py
@@ -13,10 +13,10 @@
     """A value that differs between two documents.
 
     Attributes:
-        path: Place in the documents; objects of a list are named by their id
-            or name, such as `workspaces[paint].weight`.
-        old: Value in the old document, or None if it is not there.
-        new: Value in the new document, or None if it is not there.
+        path: Path in the documents; list items are identified by id or name,
+            as in `workspaces[paint].weight`.
+        old: Value in the old document, or None if it is missing.
+        new: Value in the new document, or None if it is missing.
     """
 
     path: str
@@ -25,7 +25,7 @@
 
 
 def differences(old: Any, new: Any, path: str = "") -> Iterator[Difference]:
-    """Return the differences between two decoded documents."""
+    """Yield the differences between two decoded documents."""
     if old == new:
         return
     if isinstance(old, Mapping) and isinstance(new, Mapping):
@@ -43,7 +43,7 @@
     if _common_order(old_by_key, new_by_key) != _common_order(
         new_by_key, old_by_key
     ):
-        # The first request class is the default, so order has a meaning.
+        # The order matters, since the first request class is the default.
         yield Difference(f"{path} (order)", list(old_by_key), list(new_by_key))
 
 
@@ -56,7 +56,7 @@
 
 
 def _by_key(value: Any) -> dict[str, Any] | None:
-    """Return the objects of a list by id or name, or None without such."""
+    """Return list items keyed by id or name, or None if not possible."""
     if not isinstance(value, list):
         return None
     for field in _KEY_FIELDS:
--- a/packages/ctl/src/lacewingspar_ctl/errors.py
+++ b/packages/ctl/src/lacewingspar_ctl/errors.py
@@ -33,16 +33,16 @@
 
 
 class BadInputError(CtlError):
-    """A file, an option or a name is wrong."""
+    """A file, an option or a name is invalid."""
 
     exit_code = ExitCode.BAD_INPUT
 
 
 class InvalidDocumentError(BadInputError):
-    """A service document has mistakes.
+    """A service document has problems.
 
     Attributes:
-        problems: All of them.
+        problems: All problems of the document.
     """
 
     def __init__(self, problems: Sequence[DocumentProblem]) -> None:
@@ -59,12 +59,12 @@
 
 
 class RouterUnreachableError(CtlError):
-    """The request did not reach the router, or a read got no answer."""
+    """The request did not reach the router, or a read got no response."""
 
     exit_code = ExitCode.UNREACHABLE
 
 
 class RefusedError(CtlError):
-    """The router answered and refused the request."""
+    """The router refused the request."""
 
     exit_code = ExitCode.REFUSED
--- a/packages/ctl/src/lacewingspar_ctl/files.py
+++ b/packages/ctl/src/lacewingspar_ctl/files.py
@@ -1,4 +1,4 @@
-"""Service documents in files."""
+"""Reading of service documents from files."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 
     Raises:
         BadInputError: The file cannot be read.
-        InvalidDocumentError: The document has mistakes.
+        InvalidDocumentError: The document has problems.
     """
     try:
         text = path.read_text(encoding="utf-8")
--- a/packages/ctl/src/lacewingspar_ctl/main.py
+++ b/packages/ctl/src/lacewingspar_ctl/main.py
@@ -1,4 +1,4 @@
-"""Command lacewingsparctl."""
+"""The command line lacewingsparctl."""
 
 from typing import Annotated, Any
 
--- a/packages/ctl/src/lacewingspar_ctl/output.py
+++ b/packages/ctl/src/lacewingspar_ctl/output.py
@@ -10,8 +10,8 @@
 
 from lacewingspar_ctl.errors import CtlError, InvalidDocumentError
 
-# Text wider than a pipe's default of 80 columns is not wrapped, so that
-# identifiers can be searched for and copied.
+# Wider than the default of 80 columns for pipes, so that identifiers are not
+# wrapped and can be searched for and copied.
 _PIPE_COLUMNS = 200
 
 
@@ -99,9 +99,9 @@
 
 
 def _plain(text: str, keep: str = "") -> Text:
-    """Return text without markup, control characters made visible.
+    """Return text without markup and with control characters escaped.
 
-    Names in answers come from other people and must not control the terminal.
+    Names in responses come from other users and must not control the terminal.
     """
     return Text(
         "".join(
--- a/packages/ctl/src/lacewingspar_ctl/session.py
+++ b/packages/ctl/src/lacewingspar_ctl/session.py
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """Options of one call of the command line.
+    """Options of one invocation of the command line.
 
     Attributes:
         router: Base URL of the router's administration address, if given.
         token: Administration token, if given.
-        output: Where results go.
-        transport: Replaces the network in tests.
+        output: Output for results and errors.
+        transport: Transport that replaces the network in tests.
     """
 
     router: str | None
@@ -38,7 +38,7 @@
     transport: httpx.BaseTransport | None = None
 
     def client(self) -> AdminClient:
-        """Return a client of the router.
+        """Return a client for the router.
 
         Raises:
             BadInputError: The router or the token is missing or malformed.
@@ -50,10 +50,12 @@
             message = f"give --token or set {ENV_TOKEN}"
             raise BadInputError("no_token", message)
         if not _is_router_url(self.router):
-            message = f"{self.router!r} is not like http://10.0.0.1:7001"
+            message = (
+                f"{self.router!r} is not a URL such as http://10.0.0.1:7001"
+            )
             raise BadInputError("bad_router_url", message)
         if not self.token.isascii() or not self.token.isprintable():
-            message = "the token has characters that a header cannot carry"
+            message = "the token has characters that a header cannot contain"
             raise BadInputError("bad_token", message)
         return AdminClient(self.router, self.token, self.transport)
 
@@ -64,5 +66,5 @@
 
 
 def session_of(context: typer.Context) -> Session:
-    """Return the session of a command."""
+    """Return the session from the context of a command."""
     return context.ensure_object(Session)
--- a/packages/router/src/lacewingspar_router/addresses.py
+++ b/packages/router/src/lacewingspar_router/addresses.py
@@ -8,13 +8,13 @@
 
 
 def map_url(url: str, address_map: Mapping[str, str]) -> str:
-    """Return a URL with its `host:port` replaced if the map has it.
+    """Replace the `host:port` of a URL if the map contains it.
 
-    An invalid URL is returned as it is, so that its use reports the error.
+    An invalid URL is returned unchanged, so that its user reports the error.
 
     Args:
         url: Absolute HTTP or HTTPS URL.
-        address_map: Replacement `host:port` by original `host:port`.
+        address_map: Replacements, keyed by the original `host:port`.
     """
     try:
         parsed = httpx.URL(url)
--- a/packages/router/src/lacewingspar_router/application.py
+++ b/packages/router/src/lacewingspar_router/application.py
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ComponentKey(Generic[_T]):
-    """Typed name under which a component is found in the application."""
+    """Typed key of a component in the application."""
 
     name: str
 
 
 class LifeCycle(StrEnum):
-    """Life-cycle of the application."""
+    """State in the life-cycle of the application."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -66,7 +66,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def now(self) -> float:
-        """Return the boot-time clock in seconds; it runs during suspension."""
+        """Return the boot-time clock in seconds, which counts suspension."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def register(self, key: ComponentKey[_T], component: _T) -> None:
@@ -80,14 +80,14 @@
     def on_drain(self, name: str, hook: Hook) -> None:
         """Call a hook when a graceful shutdown begins, in set-up order.
 
-        A hook returns when its component has finished its work in flight.
+        A hook returns when its component has no more work in flight.
         """
         self._drain_hooks.append((name, hook))
 
     def on_cut(self, hook: CutHook) -> None:
-        """Call a hook when a graceful shutdown ends early.
+        """Call a hook when a graceful shutdown is aborted.
 
-        A hook ends the requests under way and returns their number.
+        A hook aborts the requests in flight and returns their number.
         """
         self._cut_hooks.append(hook)
 
@@ -98,7 +98,7 @@
     def create_task(
         self, coroutine: Coroutine[Any, Any, _T], name: str
     ) -> asyncio.Task[_T]:
-        """Run a coroutine until it ends or the application stops."""
+        """Run a coroutine as a task that is cancelled with the application."""
         task = asyncio.create_task(coroutine, name=name)
         self._tasks.add(task)
         task.add_done_callback(self._task_done)
@@ -110,7 +110,7 @@
         """Set up all components in order.
 
         Raises:
-            ComponentSetupError: A component cannot be set up at all.
+            ComponentSetupError: The set-up of a component has failed.
         """
         for name, setup in setup_functions:
             await self._async_setup(name, setup)
@@ -118,7 +118,7 @@
         _LOGGER.info("router started", router_id=self.life.router_id)
 
     async def async_drain(self) -> None:
-        """Stop taking new work and wait for the work in flight."""
+        """Stop accepting new work and wait for the work in flight."""
         self.life_cycle = LifeCycle.DRAINING
         _LOGGER.info("drain started")
         for name, hook in self._drain_hooks:
@@ -126,11 +126,11 @@
             _LOGGER.debug("component drained", component=name)
 
     async def async_cut(self) -> int:
-        """End the requests under way and return their number."""
+        """Abort the requests in flight and return their number."""
         return sum([await hook() for hook in self._cut_hooks])
 
     async def async_stop(self) -> None:
-        """Unload all components and end all tasks."""
+        """Unload all components and cancel all tasks."""
         for name, hook in reversed(self._unload_hooks):
             try:
                 await hook()
--- a/packages/router/src/lacewingspar_router/components/admin_api/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/admin_api/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP interface for operators, the platform's balancer and metrics."""
+"""HTTP API for operators, the platform's load balancer and metrics."""
 
 from litestar import Litestar
 from litestar.exceptions import HTTPException
@@ -30,7 +30,7 @@
 
 
 async def async_setup(application: Application) -> None:
-    """Serve operators on their address."""
+    """Start the server of the administration API."""
     server = HttpServer(
         admin_app(application), application.settings.admin_address
     )
@@ -43,7 +43,7 @@
 
 
 def admin_app(application: Application) -> Litestar:
-    """Return the ASGI application for operators."""
+    """Return the ASGI application of the administration API."""
     return Litestar(
         route_handlers=[
             *state_handlers(application),
--- a/packages/router/src/lacewingspar_router/components/admin_api/access.py
+++ b/packages/router/src/lacewingspar_router/components/admin_api/access.py
@@ -1,4 +1,4 @@
-"""Access of operators and the form of refusals."""
+"""Access control and error responses of the administration API."""
 
 import hashlib
 import hmac
@@ -22,7 +22,7 @@
 
 
 def token_guard(token_sha256: str) -> Guard:
-    """Return a guard that asks for the administration token.
+    """Return a guard that requires the administration token.
 
     Args:
         token_sha256: SHA-256 hash of the token in hexadecimal.
@@ -40,7 +40,9 @@
             digest, token_sha256
         ):
             raise AdminRequestError(
-                401, "token_invalid", "the administration token is needed"
+                401,
+                "token_invalid",
+                "the administration token is missing or wrong",
             )
 
     return guard
@@ -49,12 +51,12 @@
 def refuse_admin_request(
     _: AnyRequest, error: AdminRequestError
 ) -> Response[Any]:
-    """Return the answer to a request that was refused."""
+    """Return the response to a request that was refused."""
     return _refusal(error.status, error.code, error.message)
 
 
 def refuse_http_error(_: AnyRequest, error: HTTPException) -> Response[Any]:
-    """Return the answer to a request that does not fit the API."""
+    """Return the response to a request that does not match the API."""
     message = error.detail
     if error.extra:
         message = f"{message}: {error.extra}"
@@ -62,7 +64,7 @@
 
 
 def refuse_failure(request: AnyRequest, error: Exception) -> Response[Any]:
-    """Return the answer to a request that failed in the router."""
+    """Return the response to a request that failed in the router."""
     _LOGGER.error(
         "administration request failed",
         path=request.scope["path"],
--- a/packages/router/src/lacewingspar_router/components/admin_api/errors.py
+++ b/packages/router/src/lacewingspar_router/components/admin_api/errors.py
@@ -4,12 +4,12 @@
 
 
 class AdminRequestError(RouterError):
-    """A request of an operator is refused.
+    """The administration API refuses a request.
 
     Attributes:
         status: HTTP status code.
         code: Machine-readable reason.
-        message: Reason for people.
+        message: Human-readable reason.
     """
 
     def __init__(self, status: int, code: str, message: str) -> None:
--- a/packages/router/src/lacewingspar_router/components/admin_api/models.py
+++ b/packages/router/src/lacewingspar_router/components/admin_api/models.py
@@ -1,4 +1,4 @@
-"""Bodies of the administration API."""
+"""Request and response bodies of the administration API."""
 
 from typing import Annotated, Any
 
@@ -17,9 +17,9 @@
     """Body of `PUT /v1/services/NAME`.
 
     Attributes:
-        edit_id: Identity of the edit; a repeat with the same id is safe.
-        base_version: Version that the edit is based on, 0 for none.
-        author: Who makes the edit.
+        edit_id: Id of the edit; it is safe to repeat an edit with its id.
+        base_version: Version that the edit is based on, or 0 for none.
+        author: Author of the edit.
         document: The whole new document.
     """
 
@@ -30,14 +30,14 @@
 
 
 class ServiceVersion(msgspec.Struct, frozen=True):
-    """A service and the version of its document in force."""
+    """A service and the version of its active document."""
 
     service: str
     version: int
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True):
-    """The document of a service that is in force."""
+    """The active document of a service."""
 
     service: str
     version: int
@@ -55,8 +55,8 @@
 
     Attributes:
         life_cycle: State of the router's life-cycle.
-        ready: Whether it takes requests of callers.
-        in_flight: Requests that have no complete answer yet.
+        ready: Whether it accepts requests of callers.
+        in_flight: Number of requests without a complete response.
     """
 
     life_cycle: str
--- a/packages/router/src/lacewingspar_router/components/admin_api/services.py
+++ b/packages/router/src/lacewingspar_router/components/admin_api/services.py
@@ -31,7 +31,7 @@
 
     @get("/v1/services")
     async def list_services() -> ServicesAnswer:
-        """Return the services and the versions in force here."""
+        """Return the services with the versions active at this router."""
         versions = store.version_by_service
         return ServicesAnswer(
             [ServiceVersion(n, versions[n]) for n in sorted(versions)]
@@ -39,7 +39,7 @@
 
     @get("/v1/services/{name:str}")
     async def show_service(name: FromPath[str]) -> ServiceAnswer:
-        """Return the document of a service that is in force here."""
+        """Return the document of a service that is active at this router."""
         document = store.documents_by_service.get(name)
         if document is None:
             raise _unknown_service(name)
@@ -49,7 +49,7 @@
 
     @get("/v1/services/{name:str}/history")
     async def show_history(name: FromPath[str]) -> dict[str, Any]:
-        """Return the accepted edits of a service that are kept."""
+        """Return the retained accepted edits of a service."""
         if name not in store.documents_by_service:
             raise _unknown_service(name)
         edits = [
--- a/packages/router/src/lacewingspar_router/components/admin_api/status.py
+++ b/packages/router/src/lacewingspar_router/components/admin_api/status.py
@@ -1,4 +1,4 @@
-"""State of the router in the administration API."""
+"""Status of the router in the administration API."""
 
 from typing import Any
 
@@ -31,7 +31,7 @@
 
     @get("/ready")
     async def ready() -> Response[StateAnswer]:
-        """Return 200 if the router takes requests of callers, else 503."""
+        """Return 200 if the router accepts requests of callers, else 503."""
         state = _state(application)
         return Response(state, status_code=200 if state.ready else 503)
 
@@ -58,7 +58,7 @@
 
     @get("/v1/accounts")
     async def accounts() -> dict[str, Any]:
-        """Return the service that each workspace received."""
+        """Return the amount of service that each workspace received."""
         snapshot = _snapshot(application, "accounts_snapshot")
         return {"accounts": snapshot}
 
@@ -76,7 +76,7 @@
 
     @post("/v1/drain", status_code=202)
     async def drain() -> StateAnswer:
-        """Begin a graceful shutdown."""
+        """Start a graceful shutdown."""
         application.get(SHUTDOWN).request_drain()
         return _state(application)
 
@@ -85,7 +85,7 @@
 
 def _state(application: Application) -> StateAnswer:
     is_serving = application.life_cycle is LifeCycle.SERVING
-    # A drain that was asked for begins at once, but not in the same instant.
+    # The life-cycle changes only shortly after a drain was requested.
     is_stopping = application.get(SHUTDOWN).graceful.is_set()
     is_configured = application.get(CONFIGURATION).is_ready
     return StateAnswer(
@@ -128,6 +128,6 @@
 
 
 def _snapshot(application: Application, method: str) -> Any:
-    """Return a snapshot of the scheduler, or an empty one if it has none."""
+    """Return a snapshot of the scheduler, or {} if it provides none."""
     snapshot = getattr(application.get(SCHEDULER), method, None)
     return {} if snapshot is None else snapshot()
--- a/packages/router/src/lacewingspar_router/crash_exchange.py
+++ b/packages/router/src/lacewingspar_router/crash_exchange.py
@@ -1,4 +1,4 @@
-"""Crash records of all services, exchanged with the other routers."""
+"""Exchange of crash records with the other routers."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class CrashExchange:
-    """Sends changed records to all routers, and all records to new ones.
+    """Sends changed crash records to all routers, and all to new ones.
 
     Args:
         app: The application.
@@ -23,16 +23,16 @@
         self._app = app
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
-        # A service without a known crash has no state, which keeps the path
-        # of its requests short.
+        # Services without a known crash have no entry, so that their requests
+        # skip the checks.
         self._state_by_service: dict[str, QuarantineState] = {}
-        self._known_lives: set[RouterLife] = set()
+        self._known_instances: set[RouterLife] = set()
         self._listeners: list[Callable[[], None]] = []
         self._peers.subscribe(Quarantine, self._receive)
-        self._peers.add_listener(self._routers_changed)
+        self._peers.add_listener(self._send_to_new_routers)
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after records of other routers were merged."""
+        """Call a function after merging records of another router."""
         self._listeners.append(listener)
 
     def known_state(self, service: str) -> QuarantineState | None:
@@ -40,7 +40,7 @@
         return self._state_by_service.get(service)
 
     def state(self, service: str) -> QuarantineState:
-        """Return the records of a service, to add to them."""
+        """Return the records of a service, which are created if missing."""
         state = self._state_by_service.get(service)
         if state is None:
             state = self._state_by_service[service] = QuarantineState(service)
@@ -63,13 +63,13 @@
         for listener in self._listeners:
             listener()
 
-    def _routers_changed(self) -> None:
-        """Send all records to routers that have started or come back."""
-        lives = {
+    def _send_to_new_routers(self) -> None:
+        """Send all records to routers that have become alive."""
+        instances = {
             record.life for record in self._peers.alive_by_router_id.values()
         }
-        new = lives - self._known_lives - {self._app.life}
-        self._known_lives = lives
+        new = instances - self._known_instances - {self._app.life}
+        self._known_instances = instances
         for state in self._state_by_service.values() if new else ():
             message = state.publish(self._app.now(), full=True)
             if message is None or not message.crashes:
--- a/packages/router/src/lacewingspar_router/errors.py
+++ b/packages/router/src/lacewingspar_router/errors.py
@@ -12,15 +12,15 @@
 
 
 class ComponentNotReadyError(RouterError):
-    """A component cannot be set up yet; set-up is tried again."""
+    """A component cannot be set up yet; set-up is retried."""
 
 
 class ComponentSetupError(RouterError):
-    """A component cannot be set up at all."""
+    """A component cannot be set up; set-up is not retried."""
 
 
 class RunState(StrEnum):
-    """What is known about the run of a request."""
+    """Whether an upstream has run a request."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -28,14 +28,14 @@
 
 
 class RequestRefusedError(RouterError):
-    """A request gets its final answer without a complete upstream answer.
+    """A request ends without a complete response of an upstream.
 
     Attributes:
         status: HTTP status code.
         code: Machine-readable reason.
-        message: Reason for people.
-        run: What is known about the run of the request.
-        retry_after_seconds: When to come back, or None if a repeat of the
+        message: Human-readable reason.
+        run: Whether an upstream has run the request.
+        retry_after_seconds: Delay before a retry, or None if a retry of the
             same request cannot succeed.
     """
 
--- a/packages/router/src/lacewingspar_router/http_headers.py
+++ b/packages/router/src/lacewingspar_router/http_headers.py
@@ -26,11 +26,11 @@
     headers: Iterable[tuple[bytes, bytes]],
     also_removed: frozenset[bytes] = frozenset(),
 ) -> RawHeaders:
-    """Return the headers that a proxy passes on, with lower-case names.
+    """Return the headers that a proxy forwards, with lower-case names.
 
     Args:
         headers: Names and values as received.
-        also_removed: Further names to leave out, in lower case.
+        also_removed: Further names to remove, in lower case.
     """
     lowered = [(name.lower(), value) for name, value in headers]
     removed = HOP_BY_HOP | also_removed
--- a/packages/router/src/lacewingspar_router/http_server.py
+++ b/packages/router/src/lacewingspar_router/http_server.py
@@ -9,26 +9,26 @@
 
 from lacewingspar_router.http1.listener import Listener, bind_address
 
-# Longer than the idle time of common load balancers, so that the balancer
-# closes an idle connection first and no request meets a closing connection.
+# Longer than the idle timeout of common load balancers, so that the balancer
+# closes an idle connection first and sends no request on a closing one.
 IDLE_CONNECTION_SECONDS = 75
 LISTEN_BACKLOG = 2048
-# Time between the close of the listener and that of idle connections. A caller
-# whose connection was accepted just before may still be sending its request.
+# Delay between closing the listener and closing idle connections. A caller
+# whose connection was just accepted may still be sending its request.
 LINGER_SECONDS = 0.3
-# Time that answers have to leave after the server was told to abort.
+# Time within which responses can still be sent after an abort.
 ABORT_SECONDS = 0.5
 
-# The server reports a body that was cut on purpose as an error of the
-# application; the caller API logs these cases itself.
+# uvicorn logs a response body that was aborted on purpose as an error of the
+# application. The caller API logs these cases itself.
 logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
 
 
 class _Server(uvicorn.Server):
-    """A server whose listener is the router's own.
+    """A uvicorn server that uses the router's own listener.
 
     Attributes:
-        listener: The listener, once the server has started.
+        listener: The listener, or None before the server has started.
     """
 
     def __init__(self, config: uvicorn.Config) -> None:
@@ -59,7 +59,7 @@
 
 
 class HttpServer:
-    """An ASGI application served on one address.
+    """Serves an ASGI application on one address.
 
     Args:
         app: The ASGI application.
@@ -90,7 +90,7 @@
         return int(self._socket.getsockname()[1])
 
     async def async_start(self) -> None:
-        """Accept connections."""
+        """Start accepting connections."""
         # `serve` would replace the signal handlers of the process.
         self._task = asyncio.create_task(
             self._server._serve([self._socket]), name="http server"
@@ -101,7 +101,7 @@
         """Close the listener and all connections.
 
         Args:
-            abort: Do not wait for answers that are still being sent.
+            abort: Do not wait for responses that are still being sent.
         """
         if self._task is None:
             self._socket.close()
--- a/packages/router/src/lacewingspar_router/main.py
+++ b/packages/router/src/lacewingspar_router/main.py
@@ -36,8 +36,8 @@
     "components.admin_api",
 )
 
-# Components of a router on the users' platform. They have their own interface
-# for callers, and operators reach them through the log service only.
+# Components of a router on the users' platform. They implement the platform's
+# interface for callers; operators reach them through the log service only.
 PLATFORM_COMPONENT_PATHS: tuple[str, ...] = (
     "components.telemetry",
     "components.peers",
@@ -47,12 +47,12 @@
     "components.forwarding",
 )
 
-# Time before the platform kills the process at which it ends by itself.
+# Time between the end of the drain and the kill by the platform.
 STOP_MARGIN_SECONDS = 0.6
 
 # Objects allocated between two collections of the youngest generation, and
-# collections of one generation between two of the next one. By default the
-# first is 700, which a busy router allocates in a few milliseconds.
+# collections of a generation between two of the next one. A busy router
+# allocates the default of 700 objects in a few milliseconds.
 GC_THRESHOLDS = (10_000, 10, 10)
 
 EXIT_OK = 0
@@ -70,7 +70,7 @@
 def run_command(
     settings: Annotated[Path, typer.Argument(help="Settings file.")],
 ) -> None:
-    """Run a router until it is told to stop."""
+    """Run a router until it receives a signal to stop."""
     loaded = _load_or_exit(settings)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         code = runner.run(async_run(loaded, settings))
@@ -115,7 +115,7 @@
 
     Args:
         settings: Settings of the router.
-        path: File to read again on SIGHUP.
+        path: Settings file to reload on SIGHUP.
 
     Returns:
         Exit status of the process.
@@ -136,25 +136,25 @@
         await application.async_stop()
         return EXIT_FAILED
     except Exception:
-        # What was set up must not be left behind by a fault in a component.
+        # Components that were set up before the fault must be unloaded.
         _LOGGER.exception("router cannot start")
         await application.async_stop()
         return EXIT_FAILED
     if not is_started:
         await application.async_stop()
         return EXIT_OK
-    _exclude_from_collections()
+    _freeze_startup_objects()
     await shutdown.graceful.wait()
     is_drained = await _async_drain(application, shutdown)
     await application.async_stop()
     return EXIT_OK if is_drained else EXIT_FAILED
 
 
-def _exclude_from_collections() -> None:
-    """Let the garbage collector pass over what stays until the end.
+def _freeze_startup_objects() -> None:
+    """Exclude the objects created so far from garbage collection.
 
-    A full collection looks at every object while the event loop stands still.
-    Modules and components are some 50,000 of them.
+    Modules and components consist of about 50,000 objects, which live until the
+    process ends. A full collection would visit them and block the event loop.
     """
     gc.collect()
     gc.freeze()
@@ -162,7 +162,7 @@
 
 
 def _reload(path: Path, running: Settings) -> None:
-    """Read the settings again and apply those that can change."""
+    """Reload the settings and apply those that can change at run time."""
     try:
         settings = load_settings(path)
     except SettingsError as error:
@@ -182,7 +182,7 @@
 
 
 async def _async_start(application: Application, shutdown: Shutdown) -> bool:
-    """Start the application unless a signal comes first."""
+    """Start the application; return False if a signal comes first."""
     start = asyncio.ensure_future(
         application.async_start(setup_functions(application.settings))
     )
@@ -198,7 +198,7 @@
 
 
 async def _async_drain(application: Application, shutdown: Shutdown) -> bool:
-    """Drain the application and return whether no request was cut."""
+    """Drain the application; return False if requests were aborted."""
     drain = asyncio.ensure_future(application.async_drain())
     abort = asyncio.ensure_future(shutdown.immediate.wait())
     await asyncio.wait(
@@ -221,7 +221,7 @@
 
 
 def _drain_limit_seconds(settings: Settings) -> float:
-    """Return how long a graceful shutdown may take."""
+    """Return the maximum duration of a graceful shutdown."""
     if settings.platform is None:
         return settings.drain_limit_seconds
     grace = settings.platform.stop_grace_seconds - STOP_MARGIN_SECONDS
--- a/packages/router/src/lacewingspar_router/settings.py
+++ b/packages/router/src/lacewingspar_router/settings.py
@@ -20,7 +20,7 @@
 
 @schema_dataclass(frozen=True, slots=True, config=_STRICT)
 class PeerSettings:
-    """A router that this one contacts first.
+    """A router to contact at the start.
 
     Attributes:
         router_id: Name of the router.
@@ -35,23 +35,23 @@
 
 @schema_dataclass(frozen=True, slots=True, config=_STRICT)
 class PlatformSettings:
-    """How a router runs on the users' platform.
+    """Settings for the users' platform.
 
-    Its presence selects the platform's interface for callers, upstreams,
-    operators and the log service.
+    If present, the router uses the interfaces of the users' platform for
+    callers, upstreams, operators and the log service.
 
     Attributes:
         metrics_address: Host and port of the metrics page.
-        seed_hosts: Hosts, or `host:port`, on which routers may be running;
-            the port is ignored.
-        stop_grace_seconds: Time from the signal to stop until the process is
-            killed.
-        retry_ratio: Second sends allowed for each request, over the fleet.
-        retry_window_seconds: Window over which second sends are counted.
-        retry_allowance: Second sends allowed in each window beside the ratio.
-        descriptor_limit: Descriptors that the router may open.
-        processor_share: Part of a processor that the router may use.
-        processor_speed: Speed of that processor, in those of a common one.
+        seed_hosts: Hosts, or `host:port`, that may run routers; the port is
+            ignored.
+        stop_grace_seconds: Time between the stop signal and the kill of the
+            process.
+        retry_ratio: Retries allowed per request, across the fleet.
+        retry_window_seconds: Window over which retries are counted.
+        retry_allowance: Retries allowed per window in addition to the ratio.
+        descriptor_limit: Maximum number of open file descriptors.
+        processor_share: Share of a processor that the router may use.
+        processor_speed: Speed of that processor, relative to a common one.
     """
 
     metrics_address: HostPort
@@ -66,7 +66,7 @@
 
     @property
     def capacity(self) -> float:
-        """Return the processor time that the router may use, in cores."""
+        """Return the available processing power, in common processors."""
         return self.processor_share * self.processor_speed
 
 
@@ -78,24 +78,24 @@
         router_id: Name of this router, unique in the fleet.
         data_centre: Data centre of this router.
         caller_address: Host and port for callers.
-        admin_address: Host and port for operators, the platform's balancer
-            and metrics.
+        admin_address: Host and port for operators, the platform's load
+            balancer and metrics.
         peer_address: Host and port for other routers.
         admin_token_sha256: SHA-256 hash of the administration token.
         log_service_url: Base URL of the platform's log service.
         vm_list_url: Base URL of the platform's VM list.
-        peers: Routers that this one contacts first.
-        address_map: Replaces `host:port` of an outgoing connection by another
-            one, for networks that translate addresses.
-        drain_limit_seconds: Longest time that a graceful shutdown waits for
-            requests in flight.
-        log_level: Lowest level of log lines.
-        trace_file: File that spans are appended to as JSON lines.
-        trace_url: OTLP/HTTP address that spans are sent to.
-        event_record_file: File that events and decisions are appended to, for
+        peers: Routers to contact at the start.
+        address_map: Replacements for the `host:port` of outgoing connections,
+            for networks that translate addresses.
+        drain_limit_seconds: Maximum time for which a graceful shutdown waits
+            for requests in flight.
+        log_level: Minimum level of log lines.
+        trace_file: File to which spans are appended as JSON lines.
+        trace_url: OTLP/HTTP URL to which spans are sent.
+        event_record_file: File to which events and decisions are appended for
             replay.
-        platform: How the router runs on the users' platform, or null for the
-            project's own interface.
+        platform: Settings for the users' platform, or null to use the
+            project's own interfaces.
     """
 
     router_id: Name
--- a/packages/router/src/lacewingspar_router/shutdown.py
+++ b/packages/router/src/lacewingspar_router/shutdown.py
@@ -1,4 +1,4 @@
-"""Requests to shut this router down."""
+"""Requests to shut down this router."""
 
 import asyncio
 
@@ -6,18 +6,18 @@
 
 
 class Shutdown:
-    """Says whether a graceful or an immediate end was asked for."""
+    """Tracks whether a graceful or immediate shutdown was requested."""
 
     def __init__(self) -> None:
         self.graceful = asyncio.Event()
         self.immediate = asyncio.Event()
 
     def request_drain(self) -> None:
-        """Ask for a graceful shutdown; repeats have no effect."""
+        """Request a graceful shutdown; repeated requests have no effect."""
         self.graceful.set()
 
     def handle_signal(self) -> None:
-        """Ask for a graceful shutdown, or end one that is under way."""
+        """Request a graceful shutdown, or an immediate one if repeated."""
         if self.graceful.is_set():
             self.immediate.set()
         self.graceful.set()
--- a/tests/ctl/conftest.py
+++ b/tests/ctl/conftest.py
@@ -1,4 +1,4 @@
-"""The command line against an administration API that answers from a table."""
+"""Fixtures that run the command line against a fake administration API."""
 
 import json
 from pathlib import Path
@@ -21,19 +21,19 @@
 
 
 class FakeRouter:
-    """Answers by "METHOD path"; an exception as answer is raised."""
+    """Returns the response stored for "METHOD path"; raises exceptions."""
 
     def __init__(self) -> None:
-        self.answers: dict[str, Any] = {}
+        self.responses: dict[str, Any] = {}
         self.requests: list[httpx.Request] = []
 
     def handle(self, request: httpx.Request) -> httpx.Response:
         self.requests.append(request)
         path = request.url.raw_path.decode()
-        answer = self.answers.get(f"{request.method} {path}", (404, b""))
-        if isinstance(answer, Exception):
-            raise answer
-        status, body = answer
+        response = self.responses.get(f"{request.method} {path}", (404, b""))
+        if isinstance(response, Exception):
+            raise response
+        status, body = response
         kind = "content" if isinstance(body, bytes) else "json"
         return httpx.Response(status, **{kind: body})
 
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands that read from a router or a file, and drain."""
+"""Tests the commands that read from a router or a file, and drain."""
 
 from copy import deepcopy
 from pathlib import Path
@@ -17,13 +17,13 @@
 
 
 @pytest.fixture
-def in_force(file: str) -> Any:
+def active_document(file: str) -> Any:
     return dump_document(parse_document(Path(file).read_text("utf-8")).unwrap())
 
 
 def serve(router: Any, document: dict[str, Any]) -> None:
-    answer = {"service": SERVICE, "version": 7, "document": document}
-    router.answers[f"GET /v1/services/{SERVICE}"] = (200, answer)
+    response = {"service": SERVICE, "version": 7, "document": document}
+    router.responses[f"GET /v1/services/{SERVICE}"] = (200, response)
 
 
 def test_validate_needs_no_router(router: Any, file: str) -> None:
@@ -44,20 +44,22 @@
 
 
 def test_shown_document_is_valid(
-    router: Any, in_force: Any, tmp_path: Path
+    router: Any, active_document: Any, tmp_path: Path
 ) -> None:
-    serve(router, in_force)
+    serve(router, active_document)
     outcome = router.run("show", SERVICE, "--with-version")
     assert "// version 7" in outcome.out
     (tmp_path / "shown").write_text(outcome.out, "utf-8")
     assert router.run("validate", str(tmp_path / "shown")).code == 0
     shown = router.run("--json", "show", SERVICE, "--with-version").json()
-    assert (shown["version"], shown["document"]) == (7, in_force)
+    assert (shown["version"], shown["document"]) == (7, active_document)
 
 
-def test_diff_names_what_changed(router: Any, in_force: Any, file: str) -> None:
-    """Guards against a list item that shifts and changes all after it."""
-    old = deepcopy(in_force)
+def test_diff_names_what_changed(
+    router: Any, active_document: Any, file: str
+) -> None:
+    """Guards against an inserted list item that marks later ones as changed."""
+    old = deepcopy(active_document)
     old["workspaces"][0]["weight"] = 9.0
     old["workspaces"].insert(0, {"name": "paint"})
     # The first class is the default, so a new order is a difference.
@@ -71,7 +73,7 @@
     ]
     assert [found[1]["old"], found[1]["new"]] == [9.0, 4.0]
     assert "workspaces[paint]" in router.run("diff", SERVICE, file).out
-    serve(router, in_force)
+    serve(router, active_document)
     assert "no difference" in router.run("diff", SERVICE, file).out
 
 
@@ -82,9 +84,9 @@
 
 def test_history_lists_edits(router: Any) -> None:
     edit = {"version": 3, "edit_id": "e", "author": "kim", "accepted": False}
-    answer = {"edits": [edit]}
-    router.answers["GET /v1/services/chat/history"] = (200, answer)
-    assert router.run("--json", "history", "chat").json() == answer
+    response = {"edits": [edit]}
+    router.responses["GET /v1/services/chat/history"] = (200, response)
+    assert router.run("--json", "history", "chat").json() == response
     assert "kim" in router.run("history", "chat").out
 
 
@@ -100,15 +102,15 @@
 def test_answer_is_shown(
     router: Any, command: str, request_line: str, text: str
 ) -> None:
-    answer = {"state": "serving", "rows": [{"name": "x"}, {"served": 1.5}]}
-    router.answers[request_line] = (200, answer)
-    assert router.run("--json", *command.split()).json() == answer
+    response = {"state": "serving", "rows": [{"name": "x"}, {"served": 1.5}]}
+    router.responses[request_line] = (200, response)
+    assert router.run("--json", *command.split()).json() == response
     outcome = router.run(*command.split())
     assert (outcome.code, outcome.err, text in outcome.out) == (0, "", True)
 
 
 @pytest.mark.parametrize(
-    ("answer", "code", "reason"),
+    ("response", "code", "reason"),
     [
         (httpx.ConnectError("refused"), 5, "unreachable"),
         (LATE, 5, "no_answer"),
@@ -119,21 +121,21 @@
     ],
 )
 def test_failed_read_has_its_exit_code(
-    router: Any, answer: Any, code: int, reason: str
+    router: Any, response: Any, code: int, reason: str
 ) -> None:
-    router.answers["GET /v1/status"] = answer
+    router.responses["GET /v1/status"] = response
     outcome = router.run("--json", "status")
     assert outcome.code == code
     assert outcome.json()["error"]["code"] == reason
 
 
-@pytest.mark.parametrize("answer", [LATE, (502, b""), (200, b"<html>")])
-def test_unclear_drain_is_unknown(router: Any, answer: Any) -> None:
-    router.answers["POST /v1/drain"] = answer
+@pytest.mark.parametrize("response", [LATE, (502, b""), (200, b"<html>")])
+def test_unclear_drain_is_unknown(router: Any, response: Any) -> None:
+    router.responses["POST /v1/drain"] = response
     assert router.run("drain").code == 4
 
 
 @pytest.mark.parametrize("option", BAD_OPTIONS)
 def test_bad_options_are_bad_input(router: Any, option: str) -> None:
-    router.answers["GET /v1/status"] = (200, {})
+    router.responses["GET /v1/status"] = (200, {})
     assert router.run(option, "status").code == 2
--- a/tests/ctl/test_publish.py
+++ b/tests/ctl/test_publish.py
@@ -1,4 +1,4 @@
-"""Publishing of service documents."""
+"""Tests the publishing of service documents."""
 
 import shlex
 from pathlib import Path
@@ -9,12 +9,12 @@
 
 PUT = "PUT /v1/services/language-models"
 GET = "GET /v1/services/language-models"
-IN_FORCE = {"service": "language-models", "version": 5, "document": {}}
+ACTIVE = {"service": "language-models", "version": 5, "document": {}}
 BASE = "--base-version=7"
 
 
 def test_accepted_edit_carries_everything(router: Any, file: str) -> None:
-    router.answers[PUT] = (200, {"version": 8})
+    router.responses[PUT] = (200, {"version": 8})
     outcome = router.run("publish", file, BASE, "--edit-id=e1")
     assert (outcome.code, len(router.requests)) == (0, 1)
     assert "version 8" in outcome.out
@@ -26,12 +26,12 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "expected"), [((200, IN_FORCE), 5), ((404, b""), 0)]
+    ("response", "expected"), [((200, ACTIVE), 5), ((404, b""), 0)]
 )
-def test_missing_base_version_is_read_and_said(
-    router: Any, file: str, answer: Any, expected: int
+def test_missing_base_version_is_read_and_printed(
+    router: Any, file: str, response: Any, expected: int
 ) -> None:
-    router.answers = {GET: answer, PUT: (200, {"version": 9})}
+    router.responses = {GET: response, PUT: (200, {"version": 9})}
     outcome = router.run("publish", file)
     assert outcome.code == 0
     assert f"base version is {expected}" in outcome.err
@@ -39,10 +39,10 @@
 
 
 def test_conflict_names_the_other_edit(router: Any, file: str) -> None:
-    """Guards against names that are taken for markup or control sequences."""
+    """Guards against names that act as markup or control sequences."""
     conflict = {"current_version": 8, "other_edit_id": "e7"}
     conflict["other_author"] = "[b]lee\x1b[2J"
-    router.answers[PUT] = (409, conflict)
+    router.responses[PUT] = (409, conflict)
     outcome = router.run("publish", file, BASE)
     assert outcome.code == 3
     for text in ("version 8", "e7", "[b]lee\\u001b[2J"):
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         (202, {"edit_id": "e1"}),
         (200, b"cut off"),
@@ -64,22 +64,24 @@
         httpx.RemoteProtocolError("closed"),
     ],
 )
-def test_unknown_gives_safe_repeat(router: Any, file: str, answer: Any) -> None:
+def test_unknown_gives_safe_repeat(
+    router: Any, file: str, response: Any
+) -> None:
     """Guards against an edit that took effect but is reported as failed."""
-    router.answers = {PUT: answer, GET: (200, IN_FORCE)}
+    router.responses = {PUT: response, GET: (200, ACTIVE)}
     outcome = router.run("--json", "publish", file, "--edit-id=e1")
     report = outcome.json()
     assert outcome.code == 4
     assert (report["outcome"], report["edit_id"]) == ("unknown", "e1")
     assert "secret-token" not in report["repeat"]
     first = router.last_body()
-    router.answers = {PUT: (200, {"version": 6})}
+    router.responses = {PUT: (200, {"version": 6})}
     assert router.run(*shlex.split(report["repeat"])[1:]).code == 0
     assert router.last_body() == first
 
 
 @pytest.mark.parametrize(
-    ("answer", "code"),
+    ("response", "code"),
     [
         (httpx.ConnectError("refused"), 5),
         (httpx.ConnectTimeout("timed out"), 5),
@@ -89,16 +91,16 @@
         ((307, b""), 6),
     ],
 )
-def test_edit_that_was_not_made_is_no_unknown(
-    router: Any, file: str, answer: Any, code: int
+def test_edit_without_effect_is_not_unknown(
+    router: Any, file: str, response: Any, code: int
 ) -> None:
-    router.answers[PUT] = answer
+    router.responses[PUT] = response
     assert router.run("publish", file, BASE).code == code
 
 
 def test_problems_from_router_are_listed(router: Any, file: str) -> None:
     problem = {"path": "upstreams[0].id", "value": '"x"', "allowed": "names"}
-    router.answers[PUT] = (422, {"problems": [problem]})
+    router.responses[PUT] = (422, {"problems": [problem]})
     outcome = router.run("--json", "publish", file, BASE)
     assert outcome.code == 2
     assert outcome.json()["error"]["problems"] == [problem]
--- a/tests/ctl/test_story.py
+++ b/tests/ctl/test_story.py
@@ -1,4 +1,4 @@
-"""The story of one request from the logs of several routers."""
+"""Tests the command that collects the log lines about one request."""
 
 import json
 from pathlib import Path
@@ -77,8 +77,8 @@
 ) -> None:
     outcome = router.run("--json", "story", *options, "q", *logs)
     assert outcome.code == 0
-    told = [(item["router"], item["event"]) for item in outcome.json()]
-    assert told == expected
+    shown = [(item["router"], item["event"]) for item in outcome.json()]
+    assert shown == expected
 
 
 def test_table_names_the_inputs(router: Any, logs: list[str]) -> None:
--- a/tests/router/test_admin_api.py
+++ b/tests/router/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The administration API."""
+"""Tests the administration API."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -77,20 +77,20 @@
 async def test_publish_reports_what_happened_to_the_edit(
     admin: Admin, result: PublishResult, status: int
 ) -> None:
-    """Guards against a conflict or lost reply that looks accepted."""
+    """Guards against a conflict or lost reply that is shown as accepted."""
     admin.router.configuration.publish_result = result
-    answer = await admin.client.put("/v1/services/swap", json=edit(admin))
-    assert answer.status_code == status
-    assert answer.json() == msgspec.to_builtins(result)
+    response = await admin.client.put("/v1/services/swap", json=edit(admin))
+    assert response.status_code == status
+    assert response.json() == msgspec.to_builtins(result)
 
 
 async def test_publish_lists_all_problems(admin: Admin) -> None:
-    """Guards against an operator who finds mistakes one at a time."""
+    """Guards against a response that names only the first mistake."""
     document = edit(admin)["document"] | {"service": "other", "kind": "x"}
     body = edit(admin, document=document)
-    answer = await admin.client.put("/v1/services/swap", json=body)
-    assert answer.status_code == 422
-    assert {item["path"] for item in answer.json()["problems"]} == {
+    response = await admin.client.put("/v1/services/swap", json=body)
+    assert response.status_code == 422
+    assert {item["path"] for item in response.json()["problems"]} == {
         "service",
         "kind",
     }
@@ -109,10 +109,10 @@
 async def test_token_is_needed(
     admin: Admin, method: str, path: str, authorization: str
 ) -> None:
-    """Guards against a drain or a read by anyone who reaches the port."""
+    """Guards against access without the administration token."""
     headers = {"authorization": authorization}
-    answer = await admin.client.request(method, path, headers=headers)
-    assert answer.status_code == 401
+    response = await admin.client.request(method, path, headers=headers)
+    assert response.status_code == 401
     assert not admin.router.application.get(SHUTDOWN).graceful.is_set()
 
 
@@ -133,7 +133,7 @@
 
 
 async def test_drain_makes_the_router_not_ready_at_once(admin: Admin) -> None:
-    """Guards against a balancer that still sends requests to it."""
+    """Guards against a load balancer that keeps sending requests."""
     assert (await admin.client.get("/ready")).status_code == 200
     assert (await admin.client.post("/v1/drain")).status_code == 202
     assert (await admin.client.get("/ready")).status_code == 503
@@ -157,6 +157,6 @@
 async def test_unknown_names_get_a_reason(
     admin: Admin, path: str, code: str
 ) -> None:
-    answer = await admin.client.get(path)
-    assert answer.status_code == 404
-    assert answer.json()["error"]["code"] == code
+    response = await admin.client.get(path)
+    assert response.status_code == 404
+    assert response.json()["error"]["code"] == code
--- a/tests/router/test_http_server.py
+++ b/tests/router/test_http_server.py
@@ -1,4 +1,4 @@
-"""HTTP servers of the router process."""
+"""Tests the HTTP servers of the router process."""
 
 import asyncio
 from typing import Any
@@ -11,7 +11,7 @@
 REQUEST = b"GET / HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n"
 
 
-async def answer(_scope: Any, _receive: Any, send: Any) -> None:
+async def respond(_scope: Any, _receive: Any, send: Any) -> None:
     start = {"type": "http.response.start", "status": 204, "headers": []}
     await send(start)
     await send({"type": "http.response.body"})
@@ -29,9 +29,9 @@
 async def test_request_on_an_accepted_connection_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a request that a shutdown resets before reading it."""
+    """Guards against a shutdown that resets a connection before reading it."""
     monkeypatch.setattr(http_server, "LINGER_SECONDS", 2.0, raising=False)
-    server = HttpServer(answer, "127.0.0.1:0")
+    server = HttpServer(respond, "127.0.0.1:0")
     await server.async_start()
     used, used_writer = await asyncio.open_connection("127.0.0.1", server.port)
     used_writer.write(REQUEST.replace(b"close", b"keep-alive"))
--- a/tests/router/test_main.py
+++ b/tests/router/test_main.py
@@ -1,4 +1,4 @@
-"""Command line and shutdown of the daemon."""
+"""Tests the command line and the shutdown of the daemon."""
 
 import asyncio
 import json
@@ -69,7 +69,7 @@
 def test_all_errors_of_settings_are_listed(
     tmp_path: Path, command: str
 ) -> None:
-    """Guards against an operator who finds errors one at a time."""
+    """Guards against a message that names only the first error."""
     file = tmp_path / "settings.json"
     bad = {"router_id": "?", "caller_address": "nowhere", "spelling": 1}
     file.write_text(json.dumps(VALUES | bad))
@@ -143,7 +143,7 @@
         return asyncio.create_task(main.async_run(changed))
 
     async def async_wait_started(self, run: "asyncio.Task[int]") -> None:
-        """Wait for the start; a router that ends instead fails the test."""
+        """Wait for the start; fail if the router ends instead."""
         started = asyncio.create_task(self.is_started.wait())
         await asyncio.wait({started, run}, return_when="FIRST_COMPLETED")
         assert not run.done()
@@ -160,7 +160,7 @@
 async def test_graceful_shutdown_finishes_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a deployment that breaks answers."""
+    """Guards against deployments that abort responses."""
     hold, called = asyncio.Event(), asyncio.Event()
     upstream = answering(b"{}", hold=hold, called=called)
     async with served(upstream) as port:
@@ -181,12 +181,12 @@
 
 
 @pytest.mark.parametrize("is_second_signal", [True, False])
-async def test_shutdown_that_is_cut_short_says_what_it_cut(
+async def test_aborted_shutdown_reports_the_aborted_requests(
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
     is_second_signal: bool,
 ) -> None:
-    """Guards against interrupted requests that nobody hears of."""
+    """Guards against aborted requests that are not logged."""
     called = asyncio.Event()
     upstream = events(b"data: 1\n\n", hold=asyncio.Event(), called=called)
     async with served(upstream) as port:
@@ -213,16 +213,18 @@
 async def test_signal_during_the_start_ends_the_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a router that hangs while it waits for others."""
-    is_asked = asyncio.Event()
+    """Guards against a router that ignores signals during set-up."""
+    is_setup_called = asyncio.Event()
 
-    async def never_ready(_: Application) -> None:
-        is_asked.set()
+    async def setup_never_ready(_: Application) -> None:
+        is_setup_called.set()
         raise ComponentNotReadyError("no configuration")
 
-    monkeypatch.setattr(main, "setup_functions", lambda _: [("x", never_ready)])
+    monkeypatch.setattr(
+        main, "setup_functions", lambda _: [("x", setup_never_ready)]
+    )
     run = asyncio.create_task(main.async_run(settings()))
-    await is_asked.wait()
+    await is_setup_called.wait()
     signal.raise_signal(signal.SIGTERM)
     assert await run == 0
 
@@ -230,7 +232,7 @@
 async def test_address_in_use_is_named(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Guards against a process that ends without a reason."""
+    """Guards against a process that ends without an error message."""
     with socket.socket() as used:
         used.bind(("127.0.0.1", 0))
         used.listen()
@@ -255,7 +257,7 @@
     event: str,
     expected: bool | None,
 ) -> None:
-    """Guards against a signal to reload that ends the process."""
+    """Guards against a reload that ends the process."""
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(VALUES))
     running = main.load_settings(path)
