--- a/packages/router/src/lacewingspar_router/components/peers/network.py
+++ b/packages/router/src/lacewingspar_router/components/peers/network.py
@@ -66,9 +66,7 @@
         self._handlers_by_type: dict[type[PeerMessage], list[Handler]] = {}
         self._listeners: list[Callable[[], None]] = []
         self._alive_by_router_id: dict[str, MemberRecord] = {}
-        self._notified_by_router_id: dict[
-            str, tuple[RouterLife, RouterState]
-        ] = {}
+        self._announced: dict[str, tuple[RouterLife, RouterState]] = {}
         self._envelope = msgspec.msgpack.encode(
             _Envelope(app.life, app.settings.data_centre)
         )
@@ -234,13 +232,13 @@
 
     def _refresh_alive(self) -> None:
         self._alive_by_router_id = self._membership.alive(self._app.now())
-        current_by_router_id = {
+        announced = {
             router_id: (record.life, record.state)
             for router_id, record in self._alive_by_router_id.items()
         }
-        if current_by_router_id == self._notified_by_router_id:
+        if announced == self._announced:
             return
-        self._notified_by_router_id = current_by_router_id
+        self._announced = announced
         for listener in self._listeners:
             listener()
 
--- a/packages/router/src/lacewingspar_router/crash_exchange.py
+++ b/packages/router/src/lacewingspar_router/crash_exchange.py
@@ -26,7 +26,7 @@
         # Services without a known crash have no entry, so that their requests
         # skip the checks.
         self._state_by_service: dict[str, QuarantineState] = {}
-        self._known_instances: set[RouterLife] = set()
+        self._known_lives: set[RouterLife] = set()
         self._listeners: list[Callable[[], None]] = []
         self._peers.subscribe(Quarantine, self._receive)
         self._peers.add_listener(self._send_to_new_routers)
@@ -65,11 +65,11 @@
 
     def _send_to_new_routers(self) -> None:
         """Send all records to routers that have become alive."""
-        instances = {
+        lives = {
             record.life for record in self._peers.alive_by_router_id.values()
         }
-        new = instances - self._known_instances - {self._app.life}
-        self._known_instances = instances
+        new = lives - self._known_lives - {self._app.life}
+        self._known_lives = lives
         for state in self._state_by_service.values() if new else ():
             message = state.publish(self._app.now(), full=True)
             if message is None or not message.crashes:
