--- a/packages/standins/src/lacewingspar_standins/asgi.py
+++ b/packages/standins/src/lacewingspar_standins/asgi.py
@@ -1,7 +1,7 @@
-"""A minimal ASGI request object that can also close the connection.
+"""Minimal ASGI request object that can also close the connection.
 
-Stand-ins use ASGI directly: a streamed event costs one `send`, and faults need
-the transport, which frameworks hide.
+Stand-ins use ASGI directly because faults need the transport, which frameworks
+hide, and because a streamed event then costs only one `send`.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 class Request:
-    """One HTTP request and its answer."""
+    """An HTTP request and its response."""
 
     def __init__(self, scope: Scope, receive: Receive, send: Send) -> None:
         self.method: str = scope["method"]
@@ -44,19 +44,23 @@
         self._send = send
 
     def query_int(self, name: str, default: int) -> int:
-        """Return an integer of the query string.
+        """Return an integer parameter of the query string.
 
         Raises:
-            BadRequestError: The value is not a number from 0 on.
+            BadRequestError: The value is not a non-negative integer.
         """
         query = parse_qs(self.query_string)
         text = query.get(name, [str(default)])[-1]
         if not text.isascii() or not text.isdigit():
-            raise BadRequestError(f"{name} must be a number from 0 on")
+            raise BadRequestError(f"{name} must be a non-negative integer")
         return int(text)
 
     async def body(self) -> bytes:
-        """Return the whole request body."""
+        """Return the whole request body.
+
+        Raises:
+            ConnectionAbortedError: The client closed the connection first.
+        """
         parts: list[bytes] = []
         while True:
             message = await self._receive()
@@ -67,15 +71,15 @@
                 return b"".join(parts)
 
     async def wait_closed(self) -> None:
-        """Wait until the client has gone or the answer is complete.
+        """Wait until the client disconnects or the response is complete.
 
-        The body must have been read.
+        Call it only after the request body was read.
         """
         while (await self._receive())["type"] != "http.disconnect":
             pass
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of the answer."""
+        """Send the response head."""
         self.started = True
         await self._send(
             {
@@ -89,7 +93,7 @@
         )
 
     async def start_events(self, headers: Headers = ()) -> None:
-        """Send the head of a stream of server-sent events."""
+        """Send the response head of a stream of server-sent events."""
         head: Headers = (
             ("content-type", "text/event-stream"),
             ("cache-control", "no-cache"),
@@ -97,7 +101,7 @@
         await self.start(200, head + headers)
 
     async def write(self, data: bytes, *, more: bool = True) -> None:
-        """Send a part of the answer's body."""
+        """Send a part of the response body."""
         await self._send(
             {"type": "http.response.body", "body": data, "more_body": more}
         )
@@ -105,7 +109,7 @@
     async def reply(
         self, status: int, value: Any, headers: Headers = ()
     ) -> None:
-        """Send a whole answer in JSON."""
+        """Send a complete JSON response."""
         data = msgspec.json.encode(value)
         head: Headers = (
             ("content-type", "application/json"),
@@ -114,8 +118,8 @@
         await self.start(status, head + headers)
         await self.write(data, more=False)
 
-    async def drop(self) -> None:
-        """Close the connection without completing the answer."""
+    async def abort(self) -> None:
+        """Close the connection without completing the response."""
         transport: asyncio.Transport = self._scope["extensions"][
             EXTENSION_TRANSPORT
         ]
@@ -123,13 +127,13 @@
         await self.wait_closed()
 
 
-def decode_json(data: bytes, kind: type[T]) -> T:
+def decode_json(data: bytes, expected_type: type[T]) -> T:
     """Decode a JSON body.
 
     Raises:
         BadRequestError: The body does not match the type.
     """
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=expected_type)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise BadRequestError(str(error)) from error
--- a/packages/standins/src/lacewingspar_standins/batching.py
+++ b/packages/standins/src/lacewingspar_standins/batching.py
@@ -13,13 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchOptions:
-    """Options of the batch.
+    """Options of continuous batching.
 
     Attributes:
-        slots: Requests that generate at once.
-        step_seconds: Time of one step, which adds one token to each request.
-        prompt_token_seconds: Time to process one prompt token that is not in
-            the cache.
+        slots: Maximum number of requests that generate at the same time.
+        step_seconds: Duration of a step, which adds one token to each running
+            request.
+        prompt_token_seconds: Prefill time of a prompt token that is not in
+            the prefix cache.
         load_lag_seconds: Age of load reports.
     """
 
@@ -30,13 +31,13 @@
 
 
 class Generation:
-    """One request in the batch.
+    """Progress of one request of the batch.
 
     Args:
-        words: Words of the prompt.
-        first_token: Number of the first token to generate.
-        token_count: Number of tokens of the whole answer.
-        account: Account that the slot time belongs to.
+        words: Words of the prompt, which stand for its tokens.
+        first_token: Index of the first token to generate.
+        token_count: Number of tokens of the whole response.
+        account: Account to which the slot time is charged.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         return self.produced >= self.token_count
 
     async def wait_beyond(self, sent: int) -> None:
-        """Wait until more than `sent` tokens exist, or the end."""
+        """Wait until more than `sent` tokens exist or generation ends."""
         while self.produced <= sent and not (
             self.is_finished or self.is_cancelled
         ):
@@ -75,7 +76,13 @@
 
 
 class Batch:
-    """Requests that generate and requests that wait, in admission order."""
+    """Running and waiting requests, in order of admission.
+
+    Args:
+        options: Options of continuous batching.
+        cache: Prefix cache.
+        on_start: Called with each request when it gets a slot.
+    """
 
     def __init__(
         self,
@@ -96,14 +103,14 @@
         self.accounts = SlotAccounts()
 
     def submit(self, generation: Generation) -> None:
-        """Admit a request."""
+        """Start a request or queue it until a slot is free."""
         self._waiting.append(generation)
-        self._fill()
+        self._start_waiting()
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._run())
 
     def cancel(self, generation: Generation) -> None:
-        """Remove a request whose client has gone."""
+        """Remove a request whose client has disconnected."""
         if generation.is_finished or generation.is_cancelled:
             return
         generation.is_cancelled = True
@@ -112,21 +119,21 @@
         else:
             self._waiting.remove(generation)
         generation.wake()
-        self._fill()
+        self._start_waiting()
 
     def load(self) -> LoadReport:
-        """Return the lagging load report."""
+        """Return the load of `load_lag_seconds` ago."""
         running, waiting = self._load.get()
         age_ms = round(self._options.load_lag_seconds * 1000)
         return LoadReport(running, waiting, age_ms)
 
-    def _fill(self) -> None:
+    def _start_waiting(self) -> None:
         now = asyncio.get_running_loop().time()
         while self._waiting and len(self._running) < self._options.slots:
             generation = self._waiting.popleft()
             self._on_start(generation)
             generation.cached_words = self._cache.use(generation.words)
-            # A resumed request processes the tokens of its first part again.
+            # A resumed request also prefills the tokens generated before.
             unprocessed = (
                 len(generation.words)
                 - generation.cached_words
@@ -141,7 +148,7 @@
         loop = asyncio.get_running_loop()
         step_at = last_at = loop.time()
         while self._running:
-            # A step that is late is not made up for, as in a real engine.
+            # Like a real engine, do not catch up on late steps.
             started_at = max(step_at, loop.time() - self._options.step_seconds)
             step_at = started_at + self._options.step_seconds
             await asyncio.sleep(max(0.0, step_at - loop.time()))
@@ -162,4 +169,4 @@
         for generation in finished:
             del self._running[generation]
         if finished:
-            self._fill()
+            self._start_waiting()
--- a/packages/standins/src/lacewingspar_standins/chat.py
+++ b/packages/standins/src/lacewingspar_standins/chat.py
@@ -1,4 +1,4 @@
-"""Format of chat requests, answers and events of the engine stand-in."""
+"""Chat requests, responses and events of the engine stand-in."""
 
 import math
 import random
@@ -9,7 +9,7 @@
 import msgspec
 import xxhash
 
-# A word `marker=TEXT` in the last user message sets the marker of the answer.
+# A word `marker=TEXT` in the last user message sets the response's marker.
 MARKER_PATTERN = re.compile(r"marker=([A-Za-z0-9_.-]{1,64})")
 END_OF_STREAM = b"data: [DONE]\n\n"
 
@@ -27,8 +27,8 @@
     Attributes:
         model: Name of the model.
         messages: The conversation.
-        stream: Whether to answer as server-sent events.
-        max_tokens: Number of tokens to generate, or None for a drawn one.
+        stream: Whether to respond with server-sent events.
+        max_tokens: Number of tokens to generate, or None for a random one.
         resume_from: Number of tokens that the client already has.
     """
 
@@ -47,7 +47,7 @@
         ]
 
     def marker(self) -> str:
-        """Return the text that each token of the answer repeats."""
+        """Return the text that each token of the response repeats."""
         contents = [m.content for m in self.messages if m.role == "user"]
         last = contents[-1] if contents else ""
         match = MARKER_PATTERN.search(last)
@@ -59,10 +59,10 @@
 def draw_token_count(
     seed: int, marker: str, median: float, sigma: float
 ) -> int:
-    """Return a lognormal number of tokens, from 1 on.
+    """Return a lognormally distributed number of tokens, at least 1.
 
-    It depends only on seed and marker, so that a stream that is resumed on
-    another engine with the same seed has the same length.
+    The number depends only on seed, marker and distribution, so that a stream
+    resumed on another engine with the same options has the same length.
     """
     generator = random.Random(f"{seed}/{marker}")
     return max(1, round(generator.lognormvariate(math.log(median), sigma)))
@@ -71,7 +71,7 @@
 def usage(
     prompt_tokens: int, cached_tokens: int, completion_tokens: int
 ) -> dict[str, Any]:
-    """Return the `usage` object of an answer."""
+    """Return the `usage` object of a response."""
     return {
         "prompt_tokens": prompt_tokens,
         "completion_tokens": completion_tokens,
@@ -80,18 +80,18 @@
     }
 
 
-class AnswerFormat:
-    """Encodes one answer, whole or as events.
+class ResponseFormat:
+    """Encodes a response as one JSON document or as events.
 
     Args:
-        answer_id: Identity of the completion.
+        response_id: Id of the completion.
         model: Name of the model.
         marker: Text that each token repeats.
     """
 
-    def __init__(self, answer_id: str, model: str, marker: str) -> None:
+    def __init__(self, response_id: str, model: str, marker: str) -> None:
         self._head = {
-            "id": answer_id,
+            "id": response_id,
             "created": int(time.time()),
             "model": model,
         }
@@ -103,20 +103,20 @@
         self._suffix = b" " + suffix
 
     def token_events(self, first: int, end: int) -> list[bytes]:
-        """Return the events of the tokens from `first` to before `end`."""
+        """Return the events of the tokens `first` to `end - 1`."""
         return [
             b"%b%d%b" % (self._prefix, number, self._suffix)
             for number in range(first, end)
         ]
 
     def last_event(self, usage_value: dict[str, Any]) -> bytes:
-        """Return the event that carries the usage."""
+        """Return the final event, which carries the usage."""
         return self._event({}, "stop", usage=usage_value)
 
     def whole(
         self, first: int, end: int, usage_value: dict[str, Any]
     ) -> dict[str, Any]:
-        """Return the answer of a request without streaming."""
+        """Return the body of a response without streaming."""
         content = "".join(
             f"{self._marker}:{number} " for number in range(first, end)
         )
--- a/packages/standins/src/lacewingspar_standins/deployed/__init__.py
+++ b/packages/standins/src/lacewingspar_standins/deployed/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that speak the interfaces of the users' platform."""
+"""Stand-ins that implement the interfaces of the users' platform."""
--- a/packages/standins/src/lacewingspar_standins/deployed/documents.py
+++ b/packages/standins/src/lacewingspar_standins/deployed/documents.py
@@ -1,7 +1,4 @@
-"""Documents and requests as operators, upstreams and callers write them.
-
-They use the platform's names, for the stand-ins and for tests.
-"""
+"""Sample documents and requests in the format of the users' platform."""
 
 from typing import Any
 
@@ -18,7 +15,14 @@
 
 
 def route(prefix: str, kind: str, service: str, **changes: Any) -> Any:
-    """Return a route of a configuration."""
+    """Return a route of a configuration.
+
+    Args:
+        prefix: Path prefix.
+        kind: Kind of the calls, such as `streaming`.
+        service: Name of the service.
+        **changes: Fields that replace the defaults.
+    """
     return {
         "name": prefix.strip("/"),
         "host": HOST,
@@ -36,7 +40,12 @@
 
 
 def manifest(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a configuration with two services and one workspace."""
+    """Return a configuration with two services and one workspace.
+
+    Args:
+        version: Version of the configuration.
+        **changes: Fields that replace the defaults.
+    """
     engine = {
         "slots": SLOTS,
         "kvTokens": 100_000,
@@ -64,7 +73,7 @@
 def upstream_entry(
     service: str, address: str, sequence: int, **changes: Any
 ) -> dict[str, Any]:
-    """Return what an upstream reports about itself."""
+    """Return the record that an upstream publishes about itself."""
     return {
         "service": service,
         "address": address,
@@ -88,17 +97,17 @@
     host: str = HOST,
     **headers: str,
 ) -> bytes:
-    """Return a caller's request.
+    """Return the bytes of a caller's request.
 
     Args:
         path: Path.
-        request_id: Identity of the request.
-        deadline_ms: Time that the caller waits for the whole answer.
+        request_id: Id of the request.
+        deadline_ms: Time budget of the caller for the complete response.
         body: Body.
         method: Method.
-        key: Key of the workspace, or None.
+        key: API key of the workspace, or None to send none.
         host: Host of the route.
-        **headers: Further headers, with `_` for `-`.
+        **headers: Further headers; `_` in a name becomes `-`.
     """
     lines = [
         f"{method} {path} HTTP/1.1",
--- a/packages/standins/src/lacewingspar_standins/deployed/store.py
+++ b/packages/standins/src/lacewingspar_standins/deployed/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's store: topics with the newest record by key."""
+"""Stand-in for the platform's store of compacted topics."""
 
 import asyncio
 import base64
@@ -9,8 +9,8 @@
 from lacewingspar_standins.faults import Faults, StandIn
 
 _LENGTH = struct.Struct(">I")
-_HEAD = struct.Struct(">QQ")
-_LONGEST_WAIT_MS = 30_000
+_READ_HEADER = struct.Struct(">QQ")
+_MAX_WAIT_MS = 30_000
 PAGE_ITEMS = 500
 
 
@@ -18,11 +18,12 @@
     """Faults of the store.
 
     Attributes:
-        outage: Answer every call with 503.
-        busy: Answer every call with 429.
-        silent: Accept calls and never answer.
-        lose_replies: Number of next appends that are done without a reply.
-        delay_ms: Time before each answer.
+        outage: Respond to every call with 503.
+        busy: Respond to every call with 429.
+        silent: Accept calls and never respond.
+        lose_replies: Number of next appends that take effect but whose
+            connection is closed without a reply.
+        delay_ms: Delay of each response.
     """
 
     outage: bool = False
@@ -33,7 +34,14 @@
 
 
 class Topic:
-    """Records of one keyed topic."""
+    """Records of a topic and the newest record of each key.
+
+    Attributes:
+        first: Offset of the first retained record.
+        records: Keys and values of the retained records.
+        newest_by_key: Offset and value of the newest record by key.
+        changed: Set, and replaced by a new event, to wake waiting readers.
+    """
 
     def __init__(self) -> None:
         self.first = 0
@@ -47,7 +55,11 @@
         return self.first + len(self.records)
 
     def append(self, key: str, value: bytes) -> int:
-        """Append a record; an empty value drops the key."""
+        """Append a record; an empty value removes the key.
+
+        Returns:
+            The offset of the record.
+        """
         offset = self.end
         self.records.append((key, value))
         if value:
@@ -58,7 +70,7 @@
         return offset
 
     def drop_history(self) -> None:
-        """Forget all records but the newest of each key."""
+        """Remove all records except the newest of each key."""
         self.first = self.end
         self.records = []
         self.wake()
@@ -73,7 +85,7 @@
     """HTTP interface of the store.
 
     Attributes:
-        topic_by_name: Topics that were used.
+        topic_by_name: Topics by name, created on first use.
         calls: Number of calls by path.
     """
 
@@ -83,23 +95,23 @@
         self.calls: dict[str, int] = {}
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, which is created on first use."""
+        """Return a topic, creating it on first use."""
         return self.topic_by_name.setdefault(name, Topic())
 
     def faults_changed(self) -> None:
-        """Let waiting readers notice an outage."""
+        """Wake waiting readers, so that an outage ends their reads."""
         for topic in self.topic_by_name.values():
             topic.wake()
 
     async def handle(self, request: Request) -> None:
-        """Answer a call."""
+        """Respond to a call."""
         self.calls[request.path] = self.calls.get(request.path, 0) + 1
         query = {
             name: values[-1]
             for name, values in parse_qs(request.query_string).items()
         }
         body = await request.body()
-        if await self._failed(request):
+        if await self._respond_with_fault(request):
             return
         await asyncio.sleep(self.faults.delay_ms / 1000)
         topic = self.topic(query.get("topic", ""))
@@ -126,7 +138,7 @@
             position = start + length
         if self.faults.lose_replies > 0:
             self.faults.lose_replies -= 1
-            await request.drop()
+            await request.abort()
             return
         await request.reply(200, {"offset": first, "end": topic.end})
 
@@ -134,19 +146,19 @@
         self, request: Request, topic: Topic, query: dict[str, str]
     ) -> None:
         offset = int(query["from"])
-        wait_ms = min(int(query.get("waitMs", "0")), _LONGEST_WAIT_MS)
+        wait_ms = min(int(query.get("waitMs", "0")), _MAX_WAIT_MS)
         if offset >= topic.end and wait_ms:
             try:
                 async with asyncio.timeout(wait_ms / 1000):
                     await topic.changed.wait()
             except TimeoutError:
                 pass
-        if await self._failed(request):
+        if await self._respond_with_fault(request):
             return
         if offset < topic.first:
             await request.reply(410, {"first": topic.first})
             return
-        data = bytearray(_HEAD.pack(topic.end, topic.first))
+        data = bytearray(_READ_HEADER.pack(topic.end, topic.first))
         for key, value in topic.records[offset - topic.first :]:
             encoded = key.encode()
             content = bytes([len(encoded)]) + encoded + value
@@ -170,7 +182,8 @@
             200, {"items": items, "truncated": is_truncated, "end": topic.end}
         )
 
-    async def _failed(self, request: Request) -> bool:
+    async def _respond_with_fault(self, request: Request) -> bool:
+        """Apply an active fault; return whether the call is finished."""
         if self.faults.silent:
             await request.wait_closed()
             return True
--- a/packages/standins/src/lacewingspar_standins/deployed/upstream.py
+++ b/packages/standins/src/lacewingspar_standins/deployed/upstream.py
@@ -15,8 +15,9 @@
     f"X-Server-Seal: {SEAL}\r\nContent-Type: text/event-stream\r\n"
     "Transfer-Encoding: chunked\r\n\r\n"
 ).encode()
-# What stands before an endless part, after the status and the request's id, and
-# what is repeated until the router closes the connection.
+# Responses with a part that never ends, by the name of the part: the bytes that
+# follow the status line and the request id, and the bytes that are repeated
+# until the router closes the connection.
 ENDLESS_PARTS: dict[str, tuple[bytes, bytes]] = {
     "header lines": (b"", b"X-Filler: " + b"x" * 1000 + b"\r\n"),
     "header line": (b"X-Filler: ", b"x" * 1000),
@@ -41,41 +42,45 @@
         b"f\r\nid: 9\ndata: x\n\n\r\n" * 50,
     ),
 }
-# Informational answers and answers to other requests come before the own one.
-_STATUS_BEFORE_ENDLESS = {
+# Status of the endless responses that do not start with 200 OK.
+_STATUS_BY_ENDLESS_PART = {
     "informational answers": "103 Early Hints",
 }
-# Bytes of an endless part that wait to be sent.
-LARGEST_UNSENT_BYTES = 256 * 1024
-# An endless part ends after so many bytes, so that a router that reads all of
-# it fails the test and not the machine.
-ENDLESS_BYTES = 48 * 1024 * 1024
-# Linger is on, for no time.
-_NO_LINGER = struct.pack("ii", 1, 0)
+# Limit of the write buffer while an endless part is sent.
+MAX_UNSENT_BYTES = 256 * 1024
+# Ends an endless part, so that a router that reads all of it fails the test
+# instead of exhausting the memory of the machine.
+MAX_ENDLESS_BYTES = 48 * 1024 * 1024
+# SO_LINGER with a timeout of 0 makes close() send a reset.
+_ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
 class UpstreamFaults(Faults):
     """Faults of the upstream.
 
     Attributes:
-        refuse: Answer 503 and say that the request did not run.
-        refuse_silently: Answer 503 without saying whether it ran.
-        status: Status of the upstream's own answers.
-        is_other_upstream: Answer 421, as another upstream at this address.
-        break_after_events: Reset the connection after so many events; -1
-            never does.
+        refuse: Respond 503 and state that the request did not run.
+        refuse_silently: Respond 503 without stating whether it ran.
+        status: Status of the responses to plain calls.
+        is_other_upstream: Respond 421, like a different upstream that has
+            taken over this address.
+        break_after_events: Number of events after which to reset the
+            connection, or -1 for no reset.
         cut_event: Send half of the next event before the reset.
-        mute: Run requests and never answer.
-        extra_answer: Send another answer after each complete one.
-        stray_id: Answer first with an answer to another request.
-        unframed: Send answers whose end is the end of the connection.
-        reset_unframed: Reset such an answer in the middle.
-        encoding: Content encoding that is announced.
-        no_seal: Leave out the proof that the answer is the upstream's own.
-        endless: Part of the answer that never ends, a key of
-            `ENDLESS_PARTS`.
-        crash_marker: A request whose body contains this text ends the
-            upstream, and resets all its connections.
+        mute: Run requests and never respond.
+        extra_answer: Send a second response after each complete one.
+        stray_id: Send a response with the id of another request first.
+        unframed: Send responses that end with the connection, without a
+            length or chunks.
+        reset_unframed: Reset the connection of an unframed response instead
+            of closing it.
+        encoding: Value of `Content-Encoding`, or "" for none.
+        no_seal: Omit `X-Server-Seal`, which proves that the response comes
+            from the upstream.
+        endless: Part of the response that never ends, a key of
+            `ENDLESS_PARTS`, or "" for none.
+        crash_marker: Text in a request body that makes the upstream stop
+            listening and reset all its connections.
     """
 
     refuse: bool = False
@@ -96,15 +101,15 @@
 
 
 @dataclass(slots=True)
-class Received:
-    """A request as the upstream has seen it.
+class ReceivedRequest:
+    """A request that the upstream received.
 
     Attributes:
         method: Method.
         target: Path and query.
-        value_by_header: Headers in lower case.
+        value_by_header: Values by header name in lower case.
         body: Whole body.
-        at: Time of arrival in seconds of the event loop.
+        at: Time of arrival on the clock of the event loop, in seconds.
     """
 
     at: float = 0.0
@@ -115,20 +120,22 @@
 
 
 class Upstream:
-    """An upstream that answers streams on paths that contain `stream`.
+    """An upstream that streams events on paths that contain `stream`.
 
     Attributes:
-        faults: Faults in force.
-        received: Requests that arrived.
+        faults: Active faults.
+        received: All requests that arrived.
         runs: Number of runs by request id.
-        running: Requests that run now.
-        endless_bytes: Bytes written of endless parts of answers.
-        cancelled: Runs whose connection was closed before their end.
+        running: Number of requests that run now.
+        endless_bytes: Bytes written of endless parts of responses.
+        cancelled: Number of requests whose connection closed before they
+            ended.
 
     Args:
-        upstream_id: Identity of the upstream.
-        events: Events of a stream.
-        pause_seconds: Time before each event, and of a plain call.
+        upstream_id: Id of the upstream.
+        events: Number of events of a stream.
+        pause_seconds: Time that a request runs before its response starts,
+            and time after each event of a stream.
     """
 
     def __init__(
@@ -138,7 +145,7 @@
         self.events = events
         self.pause_seconds = pause_seconds
         self.faults = UpstreamFaults()
-        self.received: list[Received] = []
+        self.received: list[ReceivedRequest] = []
         self.runs: Counter[str] = Counter()
         self.running = 0
         self.cancelled = 0
@@ -150,7 +157,7 @@
         self._server: asyncio.Server | None = None
 
     async def async_start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; port 0 takes a free one."""
+        """Start listening; port 0 selects a free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), host, port
@@ -159,7 +166,7 @@
         self.address = f"{name[0]}:{name[1]}"
 
     def crash(self) -> None:
-        """Stop to listen and reset all connections."""
+        """Stop listening and reset all connections."""
         self.crashes += 1
         if self._server is not None:
             self._server.close()
@@ -168,20 +175,20 @@
             connection.reset()
 
     async def async_stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of a router."""
+    """A connection from a router."""
 
     def __init__(self, upstream: Upstream) -> None:
         self._upstream = upstream
         self._parser = httptools.HttpRequestParser(self)
         self._task: asyncio.Task[None] | None = None
-        self._request = Received()
+        self._request = ReceivedRequest()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -200,7 +207,7 @@
         self._parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        self._request = Received(at=asyncio.get_running_loop().time())
+        self._request = ReceivedRequest(at=asyncio.get_running_loop().time())
 
     def on_url(self, url: bytes) -> None:
         self._request.target += url.decode()
@@ -215,22 +222,22 @@
         self._request.method = self._parser.get_method().decode()
         self._upstream.received.append(self._request)
         self._task = asyncio.get_running_loop().create_task(
-            self._async_answer(self._request)
+            self._async_respond(self._request)
         )
 
-    async def _async_answer(self, request: Received) -> None:
+    async def _async_respond(self, request: ReceivedRequest) -> None:
         faults = self._upstream.faults
         if faults.endless:
-            await self._async_endless(request)
+            await self._async_respond_endlessly(request)
             return
         if faults.refuse:
-            self._reply(request, 503, b"full", ["X-Not-Executed: 1"])
+            self._write_response(request, 503, b"full", ["X-Not-Executed: 1"])
             return
         if faults.refuse_silently:
-            self._reply(request, 503, b"busy", [])
+            self._write_response(request, 503, b"busy", [])
             return
         if faults.is_other_upstream:
-            self._reply(request, 421, b"", ["X-Not-Executed: 1"])
+            self._write_response(request, 421, b"", ["X-Not-Executed: 1"])
             return
         self._upstream.runs[request.value_by_header["x-attempt-id"]] += 1
         self._upstream.running += 1
@@ -243,56 +250,58 @@
             if faults.mute:
                 await asyncio.Event().wait()
             if "stream" in request.target:
-                await self._async_stream(request)
+                await self._async_respond_stream(request)
             else:
-                self._plain(request)
+                self._respond_plain(request)
         finally:
             self._upstream.running -= 1
 
-    async def _async_endless(self, request: Received) -> None:
+    async def _async_respond_endlessly(self, request: ReceivedRequest) -> None:
         kind = self._upstream.faults.endless
         before, repeated = ENDLESS_PARTS[kind]
         request_id = request.value_by_header["x-attempt-id"]
         if kind == "answers to other requests":
             request_id = "other"
-        status = _STATUS_BEFORE_ENDLESS.get(kind, "200 OK")
+        status = _STATUS_BY_ENDLESS_PART.get(kind, "200 OK")
         head = f"HTTP/1.1 {status}\r\nX-Attempt-Id: {request_id}\r\n"
         self._transport.write(head.encode() + before)
         while (
             not self._transport.is_closing()
-            and self._upstream.endless_bytes < ENDLESS_BYTES
+            and self._upstream.endless_bytes < MAX_ENDLESS_BYTES
         ):
-            if self._transport.get_write_buffer_size() < LARGEST_UNSENT_BYTES:
+            if self._transport.get_write_buffer_size() < MAX_UNSENT_BYTES:
                 self._transport.write(repeated * 50)
                 self._upstream.endless_bytes += 50 * len(repeated)
             await asyncio.sleep(0)
         self._transport.abort()
 
-    def _plain(self, request: Received) -> None:
+    def _respond_plain(self, request: ReceivedRequest) -> None:
         faults = self._upstream.faults
         if faults.stray_id:
-            stray = Received(value_by_header={"x-attempt-id": "stray"})
-            self._reply(stray, 200, b"not yours", [f"X-Server-Seal: {SEAL}"])
+            stray = ReceivedRequest(value_by_header={"x-attempt-id": "stray"})
+            self._write_response(
+                stray, 200, b"not yours", [f"X-Server-Seal: {SEAL}"]
+            )
         body = b"answer of " + self._upstream.upstream_id.encode()
         headers = [] if faults.no_seal else [f"X-Server-Seal: {SEAL}"]
         if faults.encoding:
             headers.append(f"Content-Encoding: {faults.encoding}")
         if faults.unframed:
-            self._head(request, faults.status, headers)
+            self._write_head(request, faults.status, headers)
             self._transport.write(body)
             if faults.reset_unframed:
                 self.reset()
             else:
                 self._transport.close()
             return
-        self._reply(request, faults.status, body, headers)
+        self._write_response(request, faults.status, body, headers)
         if faults.extra_answer:
-            self._reply(request, 200, b"extra", headers)
+            self._write_response(request, 200, b"extra", headers)
 
-    async def _async_stream(self, request: Received) -> None:
+    async def _async_respond_stream(self, request: ReceivedRequest) -> None:
         faults = self._upstream.faults
         first = int(request.value_by_header.get("last-event-id", "0")) + 1
-        self._head(
+        self._write_head(
             request,
             200,
             [
@@ -305,30 +314,38 @@
             data = b"id: %d\ndata: event %d\n\n" % (number, number)
             if sent == faults.break_after_events:
                 if faults.cut_event:
-                    self._chunk(data[: len(data) // 2])
+                    self._write_chunk(data[: len(data) // 2])
                     await asyncio.sleep(0.01)
                 self.reset()
                 return
-            self._chunk(data)
+            self._write_chunk(data)
             await asyncio.sleep(self._upstream.pause_seconds)
         self._transport.write(b"0\r\n\r\n")
 
     def reset(self) -> None:
-        """Close the connection with a reset instead of an orderly end."""
+        """Close the connection with a TCP reset."""
         sock = self._transport.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ZERO_LINGER)
         self._transport.abort()
 
-    def _chunk(self, data: bytes) -> None:
+    def _write_chunk(self, data: bytes) -> None:
         self._transport.write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def _reply(
-        self, request: Received, status: int, body: bytes, headers: list[str]
+    def _write_response(
+        self,
+        request: ReceivedRequest,
+        status: int,
+        body: bytes,
+        headers: list[str],
     ) -> None:
-        self._head(request, status, [*headers, f"Content-Length: {len(body)}"])
+        self._write_head(
+            request, status, [*headers, f"Content-Length: {len(body)}"]
+        )
         self._transport.write(body)
 
-    def _head(self, request: Received, status: int, headers: list[str]) -> None:
+    def _write_head(
+        self, request: ReceivedRequest, status: int, headers: list[str]
+    ) -> None:
         request_id = request.value_by_header.get("x-attempt-id", "")
         lines = [
             f"HTTP/1.1 {status} Status",
--- a/packages/standins/src/lacewingspar_standins/engine.py
+++ b/packages/standins/src/lacewingspar_standins/engine.py
@@ -10,8 +10,8 @@
 from lacewingspar_standins.batching import Batch, Generation
 from lacewingspar_standins.chat import (
     END_OF_STREAM,
-    AnswerFormat,
     ChatRequest,
+    ResponseFormat,
     draw_token_count,
     usage,
 )
@@ -32,7 +32,7 @@
 
 @dataclass(eq=False, slots=True)
 class _Call:
-    """A chat request that is being answered."""
+    """A chat request in flight."""
 
     request: Request
     chat: ChatRequest
@@ -49,7 +49,7 @@
         super().__init__(faults)
         self._options = options
         self._cache = PrefixCache(options.cache)
-        self._batch = Batch(options.batch, self._cache, self._started)
+        self._batch = Batch(options.batch, self._cache, self._record_start)
         self._call_by_generation: dict[Generation, _Call] = {}
         self._leave_at: float | None = None
         self.stats = EngineStats()
@@ -58,7 +58,7 @@
             self.stats.runs_by_request_id[run.request_id or ""] += 1
 
     def faults_changed(self) -> None:
-        """Silence the requests that exist, and note when leaving begins."""
+        """Silence the requests in flight and track when `leave` was set."""
         if self.faults.silent:
             self.faults.silent = False
             for call in self._call_by_generation.values():
@@ -69,7 +69,7 @@
             self._leave_at = asyncio.get_running_loop().time()
 
     async def handle(self, request: Request) -> None:
-        """Answer a request."""
+        """Respond to a request."""
         match request.method, request.path:
             case "POST", "/v1/chat/completions":
                 await self._chat(request)
@@ -111,15 +111,19 @@
             await request.reply(404, {"error": f"no model {chat.model!r}"})
             return
         call = self._new_call(request, chat)
-        call.closed.add_done_callback(lambda _: self._end(call))
+        call.closed.add_done_callback(lambda _: self._finish(call))
         try:
             self._call_by_generation[call.generation] = call
             self._batch.submit(call.generation)
-            await (self._stream(call) if chat.stream else self._whole(call))
+            await (
+                self._respond_stream(call)
+                if chat.stream
+                else self._respond_whole(call)
+            )
             if call.is_silent:
                 await call.closed
         finally:
-            self._end(call)
+            self._finish(call)
             call.closed.cancel()
 
     def _new_call(self, request: Request, chat: ChatRequest) -> _Call:
@@ -146,7 +150,7 @@
             closed=asyncio.create_task(request.wait_closed()),
         )
 
-    def _started(self, generation: Generation) -> None:
+    def _record_start(self, generation: Generation) -> None:
         call = self._call_by_generation[generation]
         crash_marker = self.faults.crash_marker
         if crash_marker and any(
@@ -157,7 +161,7 @@
         self.stats.started += 1
         self.stats.runs_by_request_id[call.request_id] += 1
 
-    def _end(self, call: _Call) -> None:
+    def _finish(self, call: _Call) -> None:
         if self._call_by_generation.pop(call.generation, None) is None:
             return
         generation = call.generation
@@ -174,51 +178,60 @@
             self.stats.arrived_after_leave += 1
             self.stats.last_arrival_after_leave_seconds = now - self._leave_at
 
-    def _answer_id(self, call: _Call) -> str:
+    def _response_id(self, call: _Call) -> str:
         if self.faults.wrong_id <= 0:
             return call.request_id
         self.faults.wrong_id -= 1
         return WRONG_ID
 
-    async def _whole(self, call: _Call) -> None:
+    async def _respond_whole(self, call: _Call) -> None:
         generation = call.generation
         await generation.wait_beyond(generation.token_count - 1)
         if generation.is_cancelled or call.is_silent:
             return
-        answer_id = self._answer_id(call)
-        answer = AnswerFormat(answer_id, call.chat.model, call.chat.marker())
-        value = answer.whole(
+        response_id = self._response_id(call)
+        response_format = ResponseFormat(
+            response_id, call.chat.model, call.chat.marker()
+        )
+        value = response_format.whole(
             generation.first_token, generation.token_count, _usage(generation)
         )
-        await call.request.reply(200, value, ((HEADER_REQUEST_ID, answer_id),))
+        await call.request.reply(
+            200, value, ((HEADER_REQUEST_ID, response_id),)
+        )
 
-    async def _stream(self, call: _Call) -> None:
+    async def _respond_stream(self, call: _Call) -> None:
         generation = call.generation
-        answer_id = self._answer_id(call)
-        answer = AnswerFormat(answer_id, call.chat.model, call.chat.marker())
+        response_id = self._response_id(call)
+        response_format = ResponseFormat(
+            response_id, call.chat.model, call.chat.marker()
+        )
         sent = generation.first_token
         await generation.wait_beyond(sent)
         while not (generation.is_cancelled or call.is_silent):
             if not call.request.started:
                 await call.request.start_events(
-                    ((HEADER_REQUEST_ID, answer_id),)
+                    ((HEADER_REQUEST_ID, response_id),)
                 )
-            end = self._end_of_part(generation)
-            events = answer.token_events(sent, end)
+            end = self._send_limit(generation)
+            events = response_format.token_events(sent, end)
             sent = end
             is_last = sent >= generation.token_count
             if is_last:
-                events += [answer.last_event(_usage(generation)), END_OF_STREAM]
+                events += [
+                    response_format.last_event(_usage(generation)),
+                    END_OF_STREAM,
+                ]
             await call.request.write(b"".join(events), more=not is_last)
             if is_last:
                 return
             if sent < generation.produced:
-                await call.request.drop()
+                await call.request.abort()
                 return
             await generation.wait_beyond(sent)
 
-    def _end_of_part(self, generation: Generation) -> int:
-        """Return the number of the token before which to stop sending."""
+    def _send_limit(self, generation: Generation) -> int:
+        """Return the index of the first token that must not be sent yet."""
         if self.faults.cut_after is None:
             return generation.produced
         cut_at = generation.first_token + self.faults.cut_after
--- a/packages/standins/src/lacewingspar_standins/engine_options.py
+++ b/packages/standins/src/lacewingspar_standins/engine_options.py
@@ -13,15 +13,15 @@
     """Faults of the engine.
 
     Attributes:
-        crash_marker: A request whose prompt contains this text ends the
-            process when it starts to run.
-        silent: Set to true, it silences all requests that exist now; later
-            ones work, so it is always read as false.
-        refuse: Answer new requests with 503.
-        wrong_id: Number of next answers that carry another request's id.
+        crash_marker: Text in a prompt that ends the process when the request
+            starts to run.
+        silent: Setting it to true silences the requests in flight. Later
+            requests work, so it always reads as false.
+        refuse: Respond to new requests with 503.
+        wrong_id: Number of next responses that carry another request's id.
         cut_after: Close streams after this number of token events.
-        leave: The VM is about to leave: `/health` answers 503. Requests are
-            still admitted, and `/stats` counts them.
+        leave: Act as if the VM is leaving: `/health` responds 503. Requests
+            are still admitted, and `/stats` counts them.
     """
 
     crash_marker: str | None = None
@@ -38,12 +38,12 @@
 
     Attributes:
         models: Names of the models.
-        batch: Options of the batch.
-        cache: Options of the prompt cache.
-        median_tokens: Median of the drawn number of tokens.
-        sigma: Standard deviation of its logarithm.
-        seed: Seed of the draws.
-        runs_file: File that keeps the runs across restarts, or None.
+        batch: Options of continuous batching.
+        cache: Options of the prefix cache.
+        median_tokens: Median of the random number of tokens.
+        sigma: Standard deviation of the logarithm of that number.
+        seed: Seed of the random numbers.
+        runs_file: File that preserves the runs across restarts, or None.
     """
 
     models: tuple[str, ...] = ("model",)
@@ -57,7 +57,11 @@
 
 @dataclass(slots=True)
 class EngineStats:
-    """Counters since the start of the engine."""
+    """Counters since the start of the engine.
+
+    `runs_by_request_id` also includes the runs of earlier processes that are
+    in the runs file.
+    """
 
     arrived: int = 0
     started: int = 0
--- a/packages/standins/src/lacewingspar_standins/faults.py
+++ b/packages/standins/src/lacewingspar_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a client injects through `POST /faults`."""
+"""Fault injection through `POST /faults`."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, Generic, TypeVar
@@ -18,7 +18,7 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Base of the fault sets; fields that are not posted stay as they are."""
+    """Base of the fault sets; a POST changes only the fields it contains."""
 
 
 F = TypeVar("F", bound=Faults)
@@ -38,7 +38,7 @@
 
 
 class StandIn(Generic[F]):
-    """An ASGI application with a fault set and the routes to change it.
+    """An ASGI application with a fault set and the route to change it.
 
     Subclasses implement `handle` and may override `faults_changed`.
     """
@@ -49,7 +49,7 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Answer one request."""
+        """Handle a request."""
         request = Request(scope, receive, send)
         handler: Callable[[Request], Awaitable[None]] = (
             self._handle_faults if request.path == PATH_FAULTS else self.handle
@@ -62,7 +62,7 @@
             return
 
     async def handle(self, request: Request) -> None:
-        """Answer a request to the stand-in proper."""
+        """Respond to a request other than `/faults`."""
         raise NotImplementedError
 
     def faults_changed(self) -> None:
--- a/packages/standins/src/lacewingspar_standins/fleet.py
+++ b/packages/standins/src/lacewingspar_standins/fleet.py
@@ -1,4 +1,4 @@
-"""Harness that runs stand-ins and routers as processes."""
+"""Test harness that runs stand-ins and routers as processes."""
 
 import asyncio
 import atexit
@@ -37,11 +37,11 @@
 
 
 class Fleet:
-    """Owns processes and ends all of them when its context ends.
+    """Runs processes and ends all of them when its context exits.
 
     Args:
-        folder: Folder for settings and logs; None makes a temporary one,
-            which is removed at the end.
+        folder: Folder for settings and logs; None creates a temporary one,
+            which is removed on exit.
     """
 
     def __init__(self, folder: Path | None = None) -> None:
@@ -54,7 +54,7 @@
         self._processes: list[ManagedProcess] = []
 
     async def __aenter__(self) -> Self:
-        """Make sure that processes end with the interpreter at the latest."""
+        """Register an exit handler that kills processes left running."""
         atexit.register(self._kill_all)
         return self
 
@@ -70,12 +70,12 @@
     async def end_all(
         self, grace_seconds: float = DEFAULT_GRACE_SECONDS
     ) -> None:
-        """End all processes, by force after a grace period."""
+        """End all processes, killing them after a grace period."""
         endings = [p.end(grace_seconds) for p in reversed(self._processes)]
         await asyncio.gather(*endings)
 
     def reserve_address(self) -> str:
-        """Reserve a port until the fleet ends; return `host:port`."""
+        """Reserve a port until the context exits and return `host:port`."""
         return self._ports.reserve()
 
     async def start_standin(
@@ -87,12 +87,12 @@
         faults: Mapping[str, Any] | None = None,
         **options: Any,
     ) -> StandInProcess:
-        """Start a stand-in and wait until it listens.
+        """Start a stand-in and wait until it is listening.
 
         Args:
-            kind: Command of `lacewingspar-standin`, such as `engine`.
-            name: Name in the fleet.
-            module: Module that has the command.
+            kind: Command of the module, such as `engine`.
+            name: Name of the process in the fleet.
+            module: Module to run, by default that of `lacewingspar-standin`.
             faults: Faults from the start.
             **options: Options of the command, such as `step_ms=5`; a list or
                 tuple repeats the option.
@@ -118,12 +118,12 @@
         arguments: Sequence[str],
         module: str = STANDIN_MODULE,
     ) -> ManagedProcess:
-        """Start a Python module that announces no address.
+        """Start a Python module that does not announce an address.
 
         Args:
-            name: Name in the fleet.
+            name: Name of the process in the fleet.
             arguments: Command and options.
-            module: The module, by default that of `lacewingspar-standin`.
+            module: Module to run, by default that of `lacewingspar-standin`.
         """
         log_file = self.folder / f"{name}.log"
         process = await spawn(
@@ -134,7 +134,7 @@
         return managed
 
     def plan_router(self, router_id: str, data_centre: str) -> RouterPlan:
-        """Reserve the ports of a router."""
+        """Reserve the ports of a router and return its plan."""
         return RouterPlan(
             router_id,
             data_centre,
@@ -152,13 +152,15 @@
         peers: Sequence[RouterPlan] = (),
         **extra: Any,
     ) -> RouterProcess:
-        """Start a router; a plan may be started again after its end.
+        """Start a router.
+
+        The same plan may be used again after the router has ended.
 
         Args:
-            plan: Name and addresses.
+            plan: Name and addresses of the router.
             log_url: Base URL of the log service.
             vms_url: Base URL of the VM list.
-            peers: Routers that it contacts first; itself is left out.
+            peers: Routers to contact first; the router itself is skipped.
             **extra: Further settings, such as `address_map`.
         """
         settings = router_settings(plan, log_url, vms_url, peers, extra)
@@ -181,10 +183,10 @@
         """Publish a service document through a router.
 
         Returns:
-            The answer of the administration API.
+            The response of the administration API.
 
         Raises:
-            FleetError: The document was not accepted.
+            FleetError: The router did not accept the document.
         """
         body = {
             "edit_id": edit_id or str(uuid.uuid4()),
@@ -197,14 +199,16 @@
         async with httpx.AsyncClient(
             timeout=PUBLISH_TIMEOUT_SECONDS, trust_env=False
         ) as client:
-            answer = await client.put(url, json=body, headers=headers)
-        if answer.status_code != 200:
-            raise FleetError(f"PUT {url}: {answer.status_code} {answer.text}")
-        accepted: dict[str, Any] = answer.json()
+            response = await client.put(url, json=body, headers=headers)
+        if response.status_code != 200:
+            raise FleetError(
+                f"PUT {url} failed: {response.status_code} {response.text}"
+            )
+        accepted: dict[str, Any] = response.json()
         return accepted
 
     def _kill_all(self) -> None:
-        """Kill what is left, without an event loop."""
+        """Kill the processes that still run, without an event loop."""
         for managed in self._processes:
             if managed.is_running:
                 with contextlib.suppress(ProcessLookupError):
--- a/packages/standins/src/lacewingspar_standins/fleet_settings.py
+++ b/packages/standins/src/lacewingspar_standins/fleet_settings.py
@@ -1,4 +1,4 @@
-"""Settings and document entries for a fleet that the harness runs."""
+"""Router settings and document entries for the fleet harness."""
 
 import hashlib
 from collections.abc import Mapping, Sequence
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterPlan:
-    """A router whose ports are reserved, so that others can name it.
+    """Name and reserved addresses of a router that may not run yet.
 
     Attributes:
         router_id: Name of the router.
-        data_centre: Its data centre.
+        data_centre: Data centre of the router.
         caller_address: Address for callers as `host:port`.
         admin_address: Address of the administration API.
         peer_address: Address for other routers.
@@ -36,7 +36,7 @@
 
 
 def sha256_hex(text: str) -> str:
-    """Return the SHA-256 hash of a text."""
+    """Return the SHA-256 hash of a text in hexadecimal."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
@@ -59,13 +59,13 @@
     models: Sequence[str] = (),
     vm: str | None = None,
 ) -> Upstream:
-    """Return a stand-in as an upstream for a service document.
+    """Return the entry of a stand-in for a service document.
 
     Args:
         standin: The engine or plain service; its name becomes the id.
         data_centre: Data centre of the upstream.
-        slots: Largest number of requests that run at once.
-        models: Models of an engine.
+        slots: Maximum number of requests that run at the same time.
+        models: Names of the models of an engine.
         vm: Name of its VM in the VM list, if any.
     """
     return Upstream(
@@ -85,7 +85,7 @@
     peers: Sequence[RouterPlan],
     extra: Mapping[str, Any],
 ) -> dict[str, Any]:
-    """Return the settings of a router."""
+    """Return the settings of a router; `extra` overrides the defaults."""
     return {
         "router_id": plan.router_id,
         "data_centre": plan.data_centre,
--- a/packages/standins/src/lacewingspar_standins/http_client.py
+++ b/packages/standins/src/lacewingspar_standins/http_client.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 client of the load generator.
 
-A general client costs more per streamed event than a router does, so that the
-generator would limit the measurement.
+A general-purpose client needs more processor time per streamed event than a
+router, so the load generator would limit the measurement.
 """
 
 import asyncio
@@ -12,16 +12,16 @@
 
 import httptools
 
-# Shorter than the time after which routers close idle connections, so that a
-# request is not sent on a connection that is being closed.
+# Shorter than the idle timeout of routers, so that no request is sent on a
+# connection that the router is closing.
 MAX_IDLE_SECONDS = 2.0
 
 
 class ClientError(Exception):
-    """The exchange failed.
+    """A request failed.
 
     Attributes:
-        outcome: Name under which the failure is counted.
+        outcome: Outcome under which the load generator counts the failure.
     """
 
     def __init__(self, outcome: str, message: str) -> None:
@@ -30,7 +30,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection, with at most one exchange at a time."""
+    """A connection with at most one request in flight."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -46,19 +46,19 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Return whether another request may be sent now."""
+        """Return whether another request may be sent on the connection."""
         is_fresh = time.monotonic() - self.idle_since < MAX_IDLE_SECONDS
         return self._is_complete and not self._is_lost and is_fresh
 
     async def exchange(self, data: bytes) -> None:
-        """Send a request and wait for the head of the answer.
+        """Send a request and wait for the response head.
 
         Raises:
-            ClientError: The connection ended before.
+            ClientError: The connection closed before the head arrived.
         """
         self._parser = httptools.HttpResponseParser(self)
         self.headers = {}
-        # Parts of the last answer may be unread if it was found to be wrong.
+        # Parts of the previous response stay unread if its check failed.
         self._parts.clear()
         self._has_head = self._is_complete = False
         if self._transport is not None:
@@ -70,7 +70,7 @@
         """Yield the body as it arrives.
 
         Raises:
-            ClientError: The connection ended before the body did.
+            ClientError: The connection closed before the body was complete.
         """
         while True:
             while self._parts:
@@ -86,7 +86,7 @@
 
     async def _wait(self, outcome: str) -> None:
         if self._is_lost:
-            raise ClientError(outcome, "connection closed by the other side")
+            raise ClientError(outcome, "connection closed by the server")
         await self._changed.wait()
         self._changed.clear()
 
@@ -96,12 +96,12 @@
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
-        """Wake the exchange."""
+        """Mark the connection as lost and wake the exchange."""
         self._is_lost = True
         self._changed.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received data."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -114,7 +114,7 @@
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Complete the head."""
+        """Store the status and mark the head as complete."""
         self.status = self._parser.get_status_code()
         self._has_head = True
 
@@ -123,7 +123,7 @@
         self._parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Complete the body."""
+        """Mark the response as complete."""
         self._is_complete = True
         self.idle_since = time.monotonic()
         if not self._parser.should_keep_alive():
@@ -132,7 +132,7 @@
 
 
 class ConnectionPool:
-    """Idle connections by address."""
+    """Pool of idle connections by address."""
 
     def __init__(self) -> None:
         self._idle_by_address: dict[str, list[Connection]] = {}
@@ -160,7 +160,7 @@
         return opened
 
     def give_back(self, address: str, connection: Connection) -> None:
-        """Keep a connection for reuse, or close it if that is not possible."""
+        """Return a connection to the pool, or close it if not reusable."""
         if connection.is_reusable:
             self._idle_by_address[address].append(connection)
         else:
@@ -177,7 +177,7 @@
 def encode_request(
     method: str, path: str, host: str, headers: dict[str, str], body: bytes
 ) -> bytes:
-    """Return the bytes of a request."""
+    """Return the bytes of an HTTP/1.1 request."""
     lines = [f"{method} {path} HTTP/1.1", f"host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     lines += [f"content-length: {len(body)}", "", ""]
--- a/packages/standins/src/lacewingspar_standins/lagged.py
+++ b/packages/standins/src/lacewingspar_standins/lagged.py
@@ -1,4 +1,4 @@
-"""A value that readers see only some time after it was set."""
+"""A value whose changes become visible after a delay."""
 
 import time
 from collections import deque
@@ -9,11 +9,11 @@
 
 
 class Lagged(Generic[T]):
-    """Keeps the values of the recent past.
+    """Value whose changes become visible after a delay.
 
     Args:
-        initial: Value that readers see before the first change.
-        lag_seconds: Time until a change becomes visible.
+        initial: Value that is visible before the first change.
+        lag_seconds: Delay until a change becomes visible.
         clock: Monotonic clock in seconds.
     """
 
@@ -29,7 +29,7 @@
         self._pending: deque[tuple[float, T]] = deque()
 
     def set(self, value: T) -> None:
-        """Change the value."""
+        """Set the value that becomes visible after the delay."""
         self._advance()
         self._pending.append((self._clock(), value))
 
@@ -39,6 +39,6 @@
         return self._visible
 
     def _advance(self) -> None:
-        limit = self._clock() - self.lag_seconds
-        while self._pending and self._pending[0][0] <= limit:
+        visible_before = self._clock() - self.lag_seconds
+        while self._pending and self._pending[0][0] <= visible_before:
             self._visible = self._pending.popleft()[1]
--- a/packages/standins/src/lacewingspar_standins/link.py
+++ b/packages/standins/src/lacewingspar_standins/link.py
@@ -10,7 +10,7 @@
 from lacewingspar_standins.server import address_of, bind
 
 READ_BYTES = 64 * 1024
-# Bounds the bytes that are in flight on a link with a long delay.
+# Bounds the memory of a link with a long delay.
 MAX_CHUNKS_IN_FLIGHT = 256
 
 
@@ -18,12 +18,12 @@
     """Faults of the link.
 
     Attributes:
-        cut: Reset existing connections and every new one.
-        silent: Set to true, it makes existing connections swallow the bytes
-            of both directions without closing; later ones work, so it is
-            always read as false.
-        mute: Discard the bytes from the targets; those to them pass.
-        delay_ms: Delay of each direction.
+        cut: Reset all existing and new connections.
+        silent: Setting it to true makes the existing connections discard the
+            bytes of both directions without closing. Later connections
+            work, so it always reads as false.
+        mute: Discard the bytes from the targets and relay those to them.
+        delay_ms: Delay in each direction.
     """
 
     cut: bool = False
@@ -50,7 +50,7 @@
 class LinkGroup(StandIn[LinkFaults]):
     """Relays to several targets that share one fault set.
 
-    It stands for the network between two data centres.
+    A group simulates the network between two data centres.
 
     Args:
         targets: Targets as `host:port`.
@@ -65,10 +65,10 @@
 
     @contextlib.asynccontextmanager
     async def listening(self, host: str) -> AsyncIterator[dict[str, str]]:
-        """Accept connections.
+        """Accept connections on one address for each target.
 
         Yields:
-            The relay's address by target.
+            The addresses of the relays by target.
         """
         async with contextlib.AsyncExitStack() as stack:
             yield {
@@ -84,7 +84,7 @@
         self.faults.silent = False
 
     async def handle(self, request: Request) -> None:
-        """Answer on the control address; only faults are served there."""
+        """Respond 404; the control address serves only `/faults`."""
         await request.reply(404, {"error": "no such resource"})
 
 
@@ -118,12 +118,12 @@
             self._abort_all()
 
     def faults_changed(self) -> None:
-        """Apply a cut and silence to the connections that exist."""
+        """Apply the faults to the existing connections."""
         self.apply_faults()
         self.faults.silent = False
 
     def apply_faults(self) -> None:
-        """Cut or silence the connections that exist, if the faults say so."""
+        """Silence or reset the existing connections as the faults require."""
         if self.faults.silent:
             for connection in self._connections:
                 connection.is_silent = True
@@ -131,7 +131,7 @@
             self._abort_all()
 
     async def handle(self, request: Request) -> None:
-        """Answer on the control address; only faults are served there."""
+        """Respond 404; the control address serves only `/faults`."""
         await request.reply(404, {"error": "no such resource"})
 
     def _abort_all(self) -> None:
@@ -158,7 +158,9 @@
         try:
             await asyncio.gather(
                 self._pump(connection, reader, target_writer),
-                self._pump(connection, target_reader, writer, is_return=True),
+                self._pump(
+                    connection, target_reader, writer, is_from_target=True
+                ),
             )
         finally:
             self._connections.discard(connection)
@@ -170,9 +172,9 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        is_return: bool = False,
+        is_from_target: bool = False,
     ) -> None:
-        """Relay one direction until its end."""
+        """Relay one direction until the sender closes it."""
         chunks: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(
             MAX_CHUNKS_IN_FLIGHT
         )
@@ -182,8 +184,8 @@
             while True:
                 data = await reader.read(READ_BYTES)
                 due_at = loop.time() + self.faults.delay_ms / 1000
-                is_lost = is_return and self.faults.mute
-                if not connection.is_silent and not (is_lost and data):
+                is_discarded = is_from_target and self.faults.mute
+                if not connection.is_silent and not (is_discarded and data):
                     await chunks.put((due_at, data))
                 if not data:
                     break
@@ -201,10 +203,10 @@
     chunks: asyncio.Queue[tuple[float, bytes]],
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Write chunks when they are due; an empty chunk is the end.
+    """Write chunks when they are due; an empty chunk is the end of the stream.
 
-    On a silent connection it never returns, because the other side must not
-    notice that this one has closed.
+    It never returns on a silent connection, because the receiver must not
+    notice that the sender has closed.
     """
     loop = asyncio.get_running_loop()
     while True:
--- a/packages/standins/src/lacewingspar_standins/load.py
+++ b/packages/standins/src/lacewingspar_standins/load.py
@@ -1,4 +1,4 @@
-"""Load generator: sends requests to routers and checks the answers."""
+"""Load generator that sends requests to routers and checks the responses."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 from lacewingspar_standins.load_check import (
     ErrorBody,
     ErrorEventError,
-    WrongAnswerError,
+    WrongResponseError,
 )
 from lacewingspar_standins.load_exchange import Exchange, RefusedError
 from lacewingspar_standins.load_options import (
@@ -36,13 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Ending:
-    """End of one attempt.
+class _AttemptResult:
+    """Result of one attempt.
 
     Attributes:
-        outcome: Name under which it is counted.
-        retry_after_seconds: How long the client must wait, if refused.
-        may_repeat: Whether the same request may be sent again.
+        outcome: Outcome under which the attempt is counted.
+        retry_after_seconds: Time to wait before the next attempt.
+        may_repeat: Whether the request may be sent again without the risk of
+            a second run.
     """
 
     outcome: str
@@ -55,8 +56,9 @@
 
     Args:
         options: Options of the run.
-        read_addresses: Returns the routers that take requests now, as a load
-            balancer would; None uses those of the options.
+        read_addresses: Returns the addresses of the routers that accept
+            requests now, like a load balancer; None uses those of the
+            options.
     """
 
     def __init__(
@@ -77,23 +79,23 @@
         """Send all requests and return the result."""
         started_at = time.monotonic()
         self._ends_at = started_at + self._options.max_seconds
-        self._recorder.begin_gap()
+        self._recorder.start_gap()
         try:
             async with asyncio.TaskGroup() as group:
                 for workspace in self._options.workspaces:
                     group.create_task(self._run_workspace(workspace))
         finally:
             self._pool.close()
-        self._recorder.end_gap()
+        self._recorder.update_longest_gap()
         return self._recorder.result(time.monotonic() - started_at)
 
     def stop(self) -> None:
-        """Start no more requests; those in flight go on."""
+        """Stop starting requests; requests in flight continue."""
         self._ends_at = time.monotonic()
         self._stopped.set()
 
     async def _wait_until_end(self, seconds: float) -> None:
-        """Wait for a time, but not beyond the end of the run."""
+        """Wait for a time or until the run ends, whichever comes first."""
         remaining = max(0.0, self._ends_at - time.monotonic())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(min(seconds, remaining)):
@@ -139,20 +141,20 @@
         planned = plan_request(self._options, workspace, number)
         recorder = self._recorder.by_workspace[workspace.name]
         self._in_flight += 1
-        ending = _Ending(OUTCOME_NOT_SENT)
+        attempt = _AttemptResult(OUTCOME_NOT_SENT)
         for _ in range(self._options.max_attempts):
             address = self._address_draw.choice(self._read_addresses())
-            ending = await self._attempt(
+            attempt = await self._attempt(
                 planned, workspace, started_at, address
             )
-            recorder.attempts[ending.outcome] += 1
-            self._recorder.attempts_by_address[address][ending.outcome] += 1
-            await self._wait_until_end(ending.retry_after_seconds)
-            if not ending.may_repeat or time.monotonic() >= self._ends_at:
+            recorder.attempts[attempt.outcome] += 1
+            self._recorder.attempts_by_address[address][attempt.outcome] += 1
+            await self._wait_until_end(attempt.retry_after_seconds)
+            if not attempt.may_repeat or time.monotonic() >= self._ends_at:
                 break
         self._in_flight -= 1
-        recorder.finals[ending.outcome] += 1
-        if ending.outcome == OUTCOME_OK:
+        recorder.finals[attempt.outcome] += 1
+        if attempt.outcome == OUTCOME_OK:
             recorder.record_latency(time.monotonic() - started_at)
 
     async def _attempt(
@@ -161,7 +163,7 @@
         workspace: WorkspaceLoad,
         started_at: float,
         address: str,
-    ) -> _Ending:
+    ) -> _AttemptResult:
         """Send a request once."""
         recorder = self._recorder.by_workspace[workspace.name]
         exchange = Exchange(
@@ -171,33 +173,35 @@
             async with asyncio.timeout(self._options.timeout_seconds):
                 request_id = await exchange.run(self._pool)
         except TimeoutError:
-            return _Ending(OUTCOME_TIMEOUT, may_repeat=planned.key is not None)
+            return _AttemptResult(
+                OUTCOME_TIMEOUT, may_repeat=planned.key is not None
+            )
         except RefusedError as refusal:
             self._record_error(recorder, refusal.error)
             is_repeatable = refusal.error.run == RUN_NOT_RUN
-            return _Ending(
+            return _AttemptResult(
                 refusal.outcome,
                 refusal.retry_after_seconds,
                 is_repeatable or planned.key is not None,
             )
         except ErrorEventError as event:
             self._record_error(recorder, event.error)
-            return _Ending(event.outcome)
-        except WrongAnswerError as problem:
+            return _AttemptResult(event.outcome)
+        except WrongResponseError as problem:
             self._recorder.record_problem(f"{planned.marker}: {problem}")
-            return _Ending(problem.outcome)
+            return _AttemptResult(problem.outcome)
         except ClientError as failure:
             if failure.outcome in BROKEN_OUTCOMES:
                 self._recorder.record_broken(
                     address, failure.outcome, planned.marker
                 )
-            return _Ending(
+            return _AttemptResult(
                 failure.outcome, BROKEN_RETRY_SECONDS, planned.key is not None
             )
         self._recorder.record_answered(request_id)
         if planned.key is not None:
             self._recorder.answered_keys.append(planned.key)
-        return _Ending(OUTCOME_OK)
+        return _AttemptResult(OUTCOME_OK)
 
     def _record_error(
         self, recorder: WorkspaceRecorder, error: ErrorBody
@@ -211,12 +215,12 @@
     options: LoadOptions,
     read_addresses: Callable[[], Sequence[str]] | None = None,
 ) -> LoadResult:
-    """Run the load generator once."""
+    """Run the load generator and return its result."""
     return await LoadGenerator(options, read_addresses).run()
 
 
 async def run_load_until_signal(options: LoadOptions) -> LoadResult:
-    """Run the load generator until its end or until SIGTERM."""
+    """Run the load generator until it ends or SIGTERM arrives."""
     generator = LoadGenerator(options)
     asyncio.get_running_loop().add_signal_handler(
         signal.SIGTERM, generator.stop
--- a/packages/standins/src/lacewingspar_standins/load_check.py
+++ b/packages/standins/src/lacewingspar_standins/load_check.py
@@ -1,4 +1,4 @@
-"""Checks that an answer is whole and belongs to its own request."""
+"""Checks that a response is complete and belongs to its request."""
 
 import hashlib
 from typing import Any
@@ -24,22 +24,22 @@
     request_id: str = ""
 
 
-class ErrorAnswer(msgspec.Struct, frozen=True):
-    """A refusal."""
+class RefusalBody(msgspec.Struct, frozen=True):
+    """Body of a response that refuses a request."""
 
     error: ErrorBody
 
 
 class ErrorEventError(ClientError):
-    """The stream ended with an explicit error event."""
+    """The stream ended with an error event."""
 
     def __init__(self, error: ErrorBody) -> None:
         super().__init__(f"{OUTCOME_ERROR_EVENT}:{error.code}", error.message)
         self.error = error
 
 
-class WrongAnswerError(ClientError):
-    """The answer is not that of the request, although it looks complete."""
+class WrongResponseError(ClientError):
+    """The response is incomplete or does not belong to the request."""
 
     def __init__(self, message: str) -> None:
         super().__init__(OUTCOME_WRONG_ANSWER, message)
@@ -73,7 +73,7 @@
 
     Args:
         planned: The request.
-        request_id: The answer's `X-Request-Id`.
+        request_id: `X-Request-Id` of the response.
     """
 
     def __init__(self, planned: PlannedRequest, request_id: str) -> None:
@@ -85,11 +85,11 @@
         self.tokens = 0
 
     def feed(self, data: bytes) -> None:
-        """Check the events that have arrived.
+        """Check the events in newly received data.
 
         Raises:
-            WrongAnswerError: An event does not belong here.
-            ErrorEventError: The stream says that it failed.
+            WrongResponseError: An event does not belong to the request.
+            ErrorEventError: The stream contains an error event.
         """
         *events, self._rest = (self._rest + data).split(b"\n\n")
         for event in events:
@@ -99,16 +99,18 @@
         """Check that the stream was complete.
 
         Raises:
-            ClientError: It was not.
+            WrongResponseError: The stream is incomplete.
         """
         if not self._is_done or self._rest:
-            raise WrongAnswerError("stream ends without its end marker")
+            raise WrongResponseError(
+                "stream ended without the end marker [DONE]"
+            )
         _check_count(self._planned, self.tokens, self._usage)
 
     def _check_event(self, event: bytes) -> None:
         kind, _, data = event.rpartition(b"data: ")
         if self._is_done or kind.startswith(b"data"):
-            raise WrongAnswerError("unexpected data in the stream")
+            raise WrongResponseError("unexpected data in the stream")
         if data == b"[DONE]":
             self._is_done = True
             return
@@ -124,17 +126,19 @@
     def _check_token(self, content: str) -> None:
         expected = f"{self._planned.marker}:{self.tokens} "
         if content != expected:
-            raise WrongAnswerError(f"{content!r} instead of {expected!r}")
+            raise WrongResponseError(
+                f"token {content!r}, expected {expected!r}"
+            )
         self.tokens += 1
 
 
 def check_whole_chat(
     planned: PlannedRequest, request_id: str, body: bytes
 ) -> None:
-    """Check a chat answer without streaming.
+    """Check a chat response without streaming.
 
     Raises:
-        WrongAnswerError: The answer is not that of the request.
+        WrongResponseError: The response does not match the request.
     """
     completion = _decode(body)
     _check_id(completion, request_id)
@@ -143,36 +147,36 @@
         f"{planned.marker}:{number} " for number in range(planned.tokens)
     )
     if contents != [expected]:
-        raise WrongAnswerError(f"content differs: {str(contents)[:200]}")
+        raise WrongResponseError(f"unexpected content: {str(contents)[:200]}")
     _check_count(planned, planned.tokens, completion.usage)
 
 
 def check_plain(planned: PlannedRequest, body: bytes) -> None:
-    """Check the answer of a plain service.
+    """Check the response of a plain service.
 
     Raises:
-        WrongAnswerError: The answer is not that of the request.
+        WrongResponseError: The response does not match the request.
     """
     try:
         value = msgspec.json.decode(body, type=dict[str, Any])
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise WrongAnswerError(str(error)) from error
+        raise WrongResponseError(str(error)) from error
     digest = hashlib.sha256(planned.body).hexdigest()
     if value.get("digest") != digest:
-        raise WrongAnswerError(f"digest differs: {value.get('digest')!r}")
+        raise WrongResponseError(f"unexpected digest: {value.get('digest')!r}")
 
 
 def _decode(data: bytes) -> _Completion:
     try:
         return _COMPLETION_DECODER.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise WrongAnswerError(f"{error}: {data[:200]!r}") from error
+        raise WrongResponseError(f"{error}: {data[:200]!r}") from error
 
 
 def _check_id(completion: _Completion, request_id: str) -> None:
     if completion.id != request_id:
-        raise WrongAnswerError(
-            f"id {completion.id!r} in the answer to {request_id!r}"
+        raise WrongResponseError(
+            f"completion id {completion.id!r}, expected {request_id!r}"
         )
 
 
@@ -180,6 +184,10 @@
     planned: PlannedRequest, tokens: int, counted: _Usage | None
 ) -> None:
     if tokens != planned.tokens:
-        raise WrongAnswerError(f"{tokens} of {planned.tokens} tokens")
+        raise WrongResponseError(
+            f"received {tokens} of {planned.tokens} tokens"
+        )
     if counted is None or counted.completion_tokens != tokens:
-        raise WrongAnswerError(f"usage {counted} for {tokens} tokens")
+        raise WrongResponseError(
+            f"usage {counted} reported for {tokens} tokens"
+        )
--- a/packages/standins/src/lacewingspar_standins/load_exchange.py
+++ b/packages/standins/src/lacewingspar_standins/load_exchange.py
@@ -1,4 +1,4 @@
-"""One attempt of the load generator: sends a request, checks the answer."""
+"""An attempt of the load generator to send a request."""
 
 import time
 from dataclasses import dataclass
@@ -13,10 +13,10 @@
 )
 from lacewingspar_standins.load_check import (
     HEADER_REQUEST_ID,
-    ErrorAnswer,
     ErrorBody,
+    RefusalBody,
     StreamCheck,
-    WrongAnswerError,
+    WrongResponseError,
     check_plain,
     check_whole_chat,
 )
@@ -27,7 +27,7 @@
 
 
 class RefusedError(ClientError):
-    """The request was refused."""
+    """The router refused the request."""
 
     def __init__(self, error: ErrorBody, retry_after_seconds: float) -> None:
         super().__init__(f"refused:{error.code}", error.message)
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """One attempt of a request.
+    """An attempt to send a request.
 
     Attributes:
-        planned: The request.
-        token: Bearer token.
-        address: Router as `host:port`.
+        planned: The request to send.
+        token: Bearer token of the workspace.
+        address: Address of the router as `host:port`.
         started_at: Start of the request on the monotonic clock.
-        recorder: Receives tokens and the time to the first token.
+        recorder: Records the tokens and the time to the first token.
     """
 
     planned: PlannedRequest
@@ -54,13 +54,13 @@
     recorder: WorkspaceRecorder
 
     async def run(self, pool: ConnectionPool) -> str:
-        """Send the request and check the answer.
+        """Send the request and check the response.
 
         Returns:
-            The `X-Request-Id` of the answer.
+            The `X-Request-Id` of the response.
 
         Raises:
-            ClientError: There is no complete and correct answer.
+            ClientError: No complete and correct response arrived.
         """
         connection = await pool.take(self.address)
         try:
@@ -92,10 +92,12 @@
     def _check_request_id(self, connection: Connection) -> str:
         request_id = connection.headers.get(HEADER_REQUEST_ID, "")
         if not request_id:
-            raise WrongAnswerError("answer without X-Request-Id")
+            raise WrongResponseError("response without X-Request-Id")
         sent = self.planned.headers.get(HEADER_REQUEST_ID, request_id)
         if request_id != sent:
-            raise WrongAnswerError(f"X-Request-Id {request_id!r} for {sent!r}")
+            raise WrongResponseError(
+                f"X-Request-Id {request_id!r}, expected {sent!r}"
+            )
         return request_id
 
     async def _receive_stream(
@@ -130,10 +132,10 @@
 
 
 async def _raise_refusal(connection: Connection) -> None:
-    """Raise the error that an answer with another status than 200 carries."""
+    """Raise the error of a response whose status is not 200."""
     body = await _read_body(connection)
     try:
-        error = msgspec.json.decode(body, type=ErrorAnswer).error
+        error = msgspec.json.decode(body, type=RefusalBody).error
     except (msgspec.DecodeError, msgspec.ValidationError) as decode_error:
         raise ClientError(
             f"http:{connection.status}", body[:200].decode(errors="replace")
--- a/packages/standins/src/lacewingspar_standins/load_options.py
+++ b/packages/standins/src/lacewingspar_standins/load_options.py
@@ -1,4 +1,4 @@
-"""Options of the load generator and the requests drawn from them."""
+"""Options of the load generator and the requests planned from them."""
 
 import math
 import random
@@ -14,9 +14,10 @@
 
     Attributes:
         name: Name of the workspace.
-        token: Its bearer token.
-        rate: Requests a second at random times (open loop); 0 for none.
-        concurrency: Clients that each send one request after the other
+        token: Bearer token of the workspace.
+        rate: Mean rate of Poisson arrivals (open loop) per second; 0 for
+            none.
+        concurrency: Number of clients that each send one request at a time
             (closed loop); 0 for none.
         request_class: Value of `X-Request-Class`, or None.
     """
@@ -35,25 +36,26 @@
         addresses: Routers as `host:port`; each request picks one at random.
         workspaces: Load by workspace.
         seed: Seed of all random numbers.
-        max_requests: Number of requests of each workspace after which it
-            ends.
-        max_seconds: Time after which no request is started.
-        timeout_seconds: Longest time of one attempt.
-        max_attempts: Largest number of attempts of a refused request.
-        max_in_flight: Open-loop requests beyond it are counted as `not_sent`.
+        max_requests: Maximum number of requests of each workspace.
+        max_seconds: Time after which no further request is started.
+        timeout_seconds: Timeout of an attempt.
+        max_attempts: Maximum number of attempts of a request.
+        max_in_flight: Limit of requests in flight; open-loop requests beyond
+            it are counted as `not_sent`.
         chat_share: Share of chat requests; the others are plain calls.
         stream_share: Share of streams among the chat requests.
         keyed_share: Share of plain calls with `Idempotency-Key`.
         model: Model of chat requests.
         plain_path: Path of plain calls.
         prompt_words: Number of words of a prompt.
-        shared_words: Number of its leading words that all prompts of a
-            workspace share.
-        median_tokens: Median of the lognormal number of tokens.
-        sigma: Standard deviation of its logarithm.
-        work_ms: Mean of the exponential work time of plain calls.
-        sends_request_id: Whether to send `X-Request-Id`, which must then come
-            back; for runs against stand-ins without a router.
+        shared_words: Number of leading words that all prompts of a workspace
+            share.
+        median_tokens: Median of the lognormally distributed number of tokens.
+        sigma: Standard deviation of the logarithm of that number.
+        work_ms: Mean of the exponentially distributed work time of plain
+            calls.
+        sends_request_id: Whether to send `X-Request-Id` and expect it in the
+            response, for runs against stand-ins without a router.
     """
 
     addresses: tuple[str, ...]
@@ -82,12 +84,12 @@
     """A request to send.
 
     Attributes:
-        marker: Text that identifies the request in its answer.
-        path: Path.
+        marker: Text that identifies the request in its response.
+        path: Path of the request.
         headers: Headers without the bearer token.
-        body: Body.
+        body: Body of the request.
         tokens: Expected number of tokens, or 0 for plain calls.
-        is_stream: Whether the answer is a stream.
+        is_stream: Whether the response is a stream.
         key: Idempotency key, or None.
     """
 
@@ -103,7 +105,7 @@
 def plan_request(
     options: LoadOptions, workspace: WorkspaceLoad, number: int
 ) -> PlannedRequest:
-    """Return a request of a workspace; it depends only on seed and number."""
+    """Return a request of a workspace; equal arguments give equal requests."""
     marker = f"{workspace.name}.{options.seed}.{number}"
     draw = random.Random(marker)
     headers = {"content-type": "application/json"}
--- a/packages/standins/src/lacewingspar_standins/load_result.py
+++ b/packages/standins/src/lacewingspar_standins/load_result.py
@@ -14,14 +14,14 @@
 
 
 class Histogram(msgspec.Struct, frozen=True):
-    """Summary of a histogram of times.
+    """Summary of a histogram of durations.
 
     Attributes:
         count: Number of values.
-        mean_seconds: Their mean.
-        seconds_by_percentile: Values by percentile.
-        encoded: The whole histogram in microseconds in the compressed format
-            of HdrHistogram.
+        mean_seconds: Mean of the values.
+        seconds_by_percentile: Value by percentile.
+        encoded: The complete histogram in microseconds, in the compressed
+            format of HdrHistogram.
     """
 
     count: int
@@ -31,13 +31,13 @@
 
 
 class BrokenConnection(msgspec.Struct, frozen=True):
-    """An attempt whose connection ended before the answer did.
+    """An attempt whose connection closed before the response was complete.
 
     Attributes:
-        at_seconds: Wall clock at its end, in seconds since the Unix epoch.
-        address: Router as `host:port`.
+        at_seconds: End of the attempt in seconds since the Unix epoch.
+        address: Address of the router as `host:port`.
         outcome: `no_answer` or `broken`.
-        marker: Identity of the request in the load.
+        marker: Marker of the request.
     """
 
     at_seconds: float
@@ -60,7 +60,7 @@
         attempts_by_outcome: Attempts by outcome.
         attempts_by_run: Refusals and error events by run state.
         latency: Time from start to end of the requests with outcome `ok`;
-            the start of an open-loop request is the time at which it was due.
+            an open-loop request starts when it is due.
         first_token: Time from start to the first token of streams.
     """
 
@@ -78,15 +78,15 @@
     """Result of a run.
 
     Attributes:
-        seconds: Duration.
+        seconds: Duration of the run.
         by_workspace: Results by workspace.
-        problems: The first wrong answers and repeated request ids.
-        not_run_request_ids: Request ids that were reported as `not_run`, to
-            be compared with the runs that the upstreams counted.
-        answered_keys: Idempotency keys whose call was answered.
+        problems: The first wrong responses and repeated request ids.
+        not_run_request_ids: Ids of requests that were reported as `not_run`,
+            for comparison with the runs that the upstreams counted.
+        answered_keys: Idempotency keys of the calls with outcome `ok`.
         attempts_by_address: Attempts by router address and outcome.
-        longest_gap_seconds: Longest time without a complete answer.
-        broken_connections: The first attempts that ended without an answer.
+        longest_gap_seconds: Longest time without a complete response.
+        broken_connections: The first attempts without a complete response.
     """
 
     seconds: float
@@ -126,7 +126,7 @@
         self._first_token.record_value(_microseconds(seconds))
 
     def result(self) -> WorkspaceResult:
-        """Return what has been collected."""
+        """Return the collected result."""
         return WorkspaceResult(
             requests=self.finals.total(),
             attempts=self.attempts.total(),
@@ -151,48 +151,48 @@
         self._problems: list[str] = []
         self._not_run_request_ids: list[str] = []
         self._answered_ids: set[str] = set()
-        self._last_answer_at = 0.0
+        self._last_response_at = 0.0
         self._longest_gap_seconds = 0.0
         self._broken_connections: list[BrokenConnection] = []
 
-    def begin_gap(self) -> None:
-        """Note the start of the load."""
-        self._last_answer_at = time.monotonic()
+    def start_gap(self) -> None:
+        """Start measuring the time without a complete response."""
+        self._last_response_at = time.monotonic()
 
-    def end_gap(self) -> None:
-        """Note a complete answer or the end of the load."""
+    def update_longest_gap(self) -> None:
+        """Update the longest gap, at a complete response or the run's end."""
         now = time.monotonic()
         self._longest_gap_seconds = max(
-            self._longest_gap_seconds, now - self._last_answer_at
+            self._longest_gap_seconds, now - self._last_response_at
         )
-        self._last_answer_at = now
+        self._last_response_at = now
 
     def record_problem(self, problem: str) -> None:
-        """Keep a problem, up to a limit."""
+        """Record a problem, up to `MAX_PROBLEMS`."""
         if len(self._problems) < MAX_PROBLEMS:
             self._problems.append(problem)
 
     def record_broken(self, address: str, outcome: str, marker: str) -> None:
-        """Keep an attempt that ended without an answer, up to a limit."""
+        """Record an attempt without a complete response, up to a limit."""
         if len(self._broken_connections) < MAX_REQUEST_IDS:
             self._broken_connections.append(
                 BrokenConnection(time.time(), address, outcome, marker)
             )
 
     def record_not_run(self, request_id: str) -> None:
-        """Keep the id of a request that was reported as not run."""
+        """Record the id of a request reported as not run, up to a limit."""
         if len(self._not_run_request_ids) < MAX_REQUEST_IDS:
             self._not_run_request_ids.append(request_id)
 
     def record_answered(self, request_id: str) -> None:
-        """Check that no other request got an answer with the same id."""
-        self.end_gap()
+        """Record a complete response and check that its id is new."""
+        self.update_longest_gap()
         if request_id in self._answered_ids:
             self.record_problem(f"request id {request_id!r} answered twice")
         self._answered_ids.add(request_id)
 
     def result(self, seconds: float) -> LoadResult:
-        """Return what has been collected."""
+        """Return the collected result."""
         return LoadResult(
             seconds=seconds,
             by_workspace={
--- a/packages/standins/src/lacewingspar_standins/log.py
+++ b/packages/standins/src/lacewingspar_standins/log.py
@@ -27,14 +27,15 @@
     """Faults of the log service.
 
     Attributes:
-        outage: Answer 503 at once.
-        refuse: Close connections without an answer.
+        outage: Respond 503 at once.
+        refuse: Close connections without a response.
         lose_replies: Number of next appends that take effect but whose
             connection is closed without a reply.
-        delay_ms: Time before an append or read takes effect.
-        reply_delay_ms: Time between the effect and the reply.
-        read_delay_ms: Further time before the reply to a read, so that a
-            writer learns the fate of its append before it reads it back.
+        delay_ms: Delay before an append or read takes effect.
+        reply_delay_ms: Delay between the effect and the reply.
+        read_delay_ms: Additional delay of the reply to a read, so that a
+            writer receives the reply to its append before it reads the
+            appended record.
     """
 
     outage: bool = False
@@ -50,8 +51,9 @@
     """Options of the log service.
 
     Attributes:
-        appends_per_second: Limit over all streams; more get 429.
-        retention_seconds: Time for which records are kept.
+        appends_per_second: Rate limit over all streams; appends beyond it get
+            429.
+        retention_seconds: Retention time of records.
     """
 
     appends_per_second: float = DEFAULT_APPENDS_PER_SECOND
@@ -62,7 +64,7 @@
     """Records of one stream.
 
     Args:
-        retention_ms: Time for which records are kept, in milliseconds.
+        retention_ms: Retention time of records in milliseconds.
         clock_ms: Wall clock in milliseconds.
     """
 
@@ -76,7 +78,7 @@
 
     def append(self, records: tuple[bytes, ...]) -> int:
         """Append records and return the offset of the first."""
-        # The wall clock may step back; times in a stream may not.
+        # Record times must not decrease, even if the wall clock steps back.
         self._last_time_ms = max(self._last_time_ms, self._clock_ms())
         first = self.next_offset
         for data in records:
@@ -115,7 +117,7 @@
 
 
 class AppendLimit:
-    """A token bucket that holds one second's worth of appends."""
+    """Token bucket whose capacity is the appends of one second."""
 
     def __init__(self, rate: float, clock: Callable[[], float]) -> None:
         self._rate = rate
@@ -123,8 +125,8 @@
         self._tokens = rate
         self._updated_at = clock()
 
-    def take(self) -> bool:
-        """Return whether one more append is allowed now."""
+    def try_acquire(self) -> bool:
+        """Take a token if one is available and return whether it was."""
         now = self._clock()
         gained = (now - self._updated_at) * self._rate
         self._tokens = min(self._rate, self._tokens + gained)
@@ -156,13 +158,13 @@
         )
 
     def faults_changed(self) -> None:
-        """Let waiting readers notice an outage."""
+        """Wake waiting readers, so that an outage ends their reads."""
         for stream in self._stream_by_name.values():
             stream.wake()
 
     async def handle(self, request: Request) -> None:
-        """Answer an append or a read."""
-        if await self._failed(request):
+        """Respond to an append or a read."""
+        if await self._respond_with_fault(request):
             return
         match request.method, request.path.strip("/").split("/"):
             case "POST", ["streams", name, "records"]:
@@ -174,7 +176,7 @@
 
     async def _append(self, request: Request, name: str) -> None:
         body = decode_json(await request.body(), AppendRequest)
-        if not self._limit.take():
+        if not self._limit.try_acquire():
             await request.reply(
                 429, {"error": "too many appends"}, (("retry-after", "1"),)
             )
@@ -184,7 +186,7 @@
         await asyncio.sleep(self.faults.reply_delay_ms / 1000)
         if self.faults.lose_replies > 0:
             self.faults.lose_replies -= 1
-            await request.drop()
+            await request.abort()
             return
         await request.reply(200, AppendReply(first))
 
@@ -198,7 +200,7 @@
         await asyncio.sleep(self.faults.delay_ms / 1000)
         stream = self._stream_by_name[name]
         await self._wait_for_record(stream, from_offset, wait_ms / 1000)
-        if await self._failed(request):
+        if await self._respond_with_fault(request):
             return
         delay_ms = self.faults.reply_delay_ms + self.faults.read_delay_ms
         await asyncio.sleep(delay_ms / 1000)
@@ -217,9 +219,10 @@
             except TimeoutError:
                 return
 
-    async def _failed(self, request: Request) -> bool:
+    async def _respond_with_fault(self, request: Request) -> bool:
+        """Apply an active fault; return whether the call is finished."""
         if self.faults.refuse:
-            await request.drop()
+            await request.abort()
             return True
         if self.faults.outage:
             await request.reply(503, {"error": "log service is down"})
--- a/packages/standins/src/lacewingspar_standins/main.py
+++ b/packages/standins/src/lacewingspar_standins/main.py
@@ -25,18 +25,20 @@
 app = typer.Typer(no_args_is_help=True, add_completion=False)
 
 Host = Annotated[str, typer.Option(help="Address to listen on.")]
-Port = Annotated[int, typer.Option(help="Port; 0 takes a free one.")]
+Port = Annotated[int, typer.Option(help="Port; 0 selects a free port.")]
 FaultJson = Annotated[
     str, typer.Option("--faults", help="Faults from the start, as JSON.")
 ]
 RunsFile = Annotated[
-    Path | None, typer.Option(help="File that keeps runs across restarts.")
+    Path | None, typer.Option(help="File that preserves runs across restarts.")
 ]
 F = TypeVar("F", bound=Faults)
 
 
-def _faults(kind: type[F], text: str) -> F:
-    return merge_faults(kind(), decode_json(text.encode(), dict[str, Any]))
+def _parse_faults(fault_type: type[F], text: str) -> F:
+    return merge_faults(
+        fault_type(), decode_json(text.encode(), dict[str, Any])
+    )
 
 
 def _serve(build: Callable[[], AsgiApp], host: str, port: int) -> None:
@@ -64,7 +66,11 @@
 ) -> None:
     """Run the log service."""
     options = LogOptions(appends_per_second, retention_seconds)
-    _serve(lambda: LogService(options, _faults(LogFaults, faults)), host, port)
+    _serve(
+        lambda: LogService(options, _parse_faults(LogFaults, faults)),
+        host,
+        port,
+    )
 
 
 @app.command()
@@ -75,7 +81,9 @@
     faults: FaultJson = "{}",
 ) -> None:
     """Run the VM list."""
-    fault_set = merge_faults(_faults(VmsFaults, faults), {"lag_ms": lag_ms})
+    fault_set = merge_faults(
+        _parse_faults(VmsFaults, faults), {"lag_ms": lag_ms}
+    )
     _serve(lambda: VmListService(fault_set), host, port)
 
 
@@ -110,7 +118,9 @@
         seed=seed,
         runs_file=runs_file,
     )
-    _serve(lambda: Engine(options, _faults(EngineFaults, faults)), host, port)
+    _serve(
+        lambda: Engine(options, _parse_faults(EngineFaults, faults)), host, port
+    )
 
 
 @app.command()
@@ -126,7 +136,9 @@
     """Run a plain service."""
     options = PlainOptions(slots, work_ms / 1000, load_lag_ms / 1000, runs_file)
     _serve(
-        lambda: PlainService(options, _faults(PlainFaults, faults)), host, port
+        lambda: PlainService(options, _parse_faults(PlainFaults, faults)),
+        host,
+        port,
     )
 
 
@@ -135,12 +147,14 @@
     target: Annotated[str, typer.Option(help="HOST:PORT to relay to.")],
     host: Host = "127.0.0.1",
     port: Port = 0,
-    control_port: Annotated[int, typer.Option(help="Port of /faults.")] = 0,
+    control_port: Annotated[
+        int, typer.Option(help="Port that serves /faults.")
+    ] = 0,
     delay_ms: float = 0,
     faults: FaultJson = "{}",
 ) -> None:
     """Run a TCP relay."""
-    fault_set = _faults(LinkFaults, faults)
+    fault_set = _parse_faults(LinkFaults, faults)
     if delay_ms:
         fault_set.delay_ms = delay_ms
 
--- a/packages/standins/src/lacewingspar_standins/plain.py
+++ b/packages/standins/src/lacewingspar_standins/plain.py
@@ -28,14 +28,14 @@
     """Faults of the plain service.
 
     Attributes:
-        refuse: Answer new calls with 503 without running them.
-        silent: Set to true, it silences all calls that exist now; later ones
-            work, so it is always read as false.
-        crash_marker: A call whose body contains this text ends the process
-            when it starts to run.
+        refuse: Respond to new calls with 503 without running them.
+        silent: Setting it to true silences the calls in flight. Later calls
+            work, so it always reads as false.
+        crash_marker: Text in a body that ends the process when the call
+            starts to run.
         lose_replies: Number of next calls that run but whose connection is
             closed without a reply.
-        delay_ms: Time between the end of the work and the reply.
+        delay_ms: Delay between the end of the work and the reply.
     """
 
     refuse: bool = False
@@ -50,10 +50,10 @@
     """Options of the plain service.
 
     Attributes:
-        slots: Calls that run at once.
-        work_seconds: Time that a call runs unless `X-Work-Ms` says otherwise.
+        slots: Maximum number of calls that run at the same time.
+        work_seconds: Duration of a call without `X-Work-Ms`.
         load_lag_seconds: Age of load reports.
-        runs_file: File that keeps the runs across restarts, or None.
+        runs_file: File that preserves the runs across restarts, or None.
     """
 
     slots: int = 8
@@ -63,17 +63,18 @@
 
 
 class _MarkedBody(msgspec.Struct, frozen=True):
-    """Body of a load generator's call."""
+    """Body of a plain call of the load generator."""
 
     marker: str
 
 
 @dataclass(slots=True)
 class Runs:
-    """Number of runs by what identifies a call.
+    """Number of runs by key, digest and request id.
 
     Attributes:
-        arrived: Calls that arrived at this process, run or not.
+        arrived: Calls received by this process, including those that did not
+            run.
         total: Number of runs.
         by_key: Runs by idempotency key.
         by_digest: Runs by digest of the body.
@@ -102,7 +103,7 @@
     Args:
         options: Options.
         faults: Faults from the start.
-        work: Does a call's work, given its time in seconds.
+        work: Performs the work of a call, given its duration in seconds.
     """
 
     def __init__(
@@ -126,13 +127,13 @@
         self.accounts = SlotAccounts()
 
     def faults_changed(self) -> None:
-        """Silence the calls that exist."""
+        """Silence the calls in flight."""
         if self.faults.silent:
             self.faults.silent = False
             self._silence_count += 1
 
     async def handle(self, request: Request) -> None:
-        """Answer a call."""
+        """Respond to a call."""
         match request.method, request.path:
             case "GET", "/_runs":
                 await request.reply(200, self.runs)
@@ -195,8 +196,8 @@
         finally:
             self._change_load(0, -1)
         try:
-            # A call whose client has gone while it waited does not run; once
-            # it runs it is not interrupted.
+            # Skip a call whose client disconnected while it waited. A running
+            # call is not interrupted.
             if closed.done():
                 return None
             number = self._count_run(request, body)
@@ -206,7 +207,7 @@
             self._slots.release()
 
     async def _occupy_slot(self, body: bytes, work_seconds: float) -> None:
-        """Do the work and account for the time that it took."""
+        """Perform the work and charge its duration to the account."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         self._change_load(1, 0)
@@ -237,7 +238,7 @@
     async def _reply(self, request: Request, body: bytes, run: int) -> None:
         if self.faults.lose_replies > 0:
             self.faults.lose_replies -= 1
-            await request.drop()
+            await request.abort()
             return
         value = {
             "method": request.method,
@@ -252,7 +253,7 @@
 
 
 def _account(body: bytes) -> str:
-    """Return the account that a load generator's body names, or ""."""
+    """Return the account named by the marker in a body, or ""."""
     try:
         return account_of(msgspec.json.decode(body, type=_MarkedBody).marker)
     except msgspec.MsgspecError:
--- a/packages/standins/src/lacewingspar_standins/ports.py
+++ b/packages/standins/src/lacewingspar_standins/ports.py
@@ -1,4 +1,4 @@
-"""Ports that stay reserved for processes that are started later."""
+"""Reservation of ports for processes that start later."""
 
 import socket
 
@@ -6,11 +6,11 @@
 
 
 class PortReservations:
-    """Keeps ports bound, so that nobody else gets them.
+    """Reserves free ports by keeping a bound socket on each.
 
-    Each port stays bound without listening. With SO_REUSEADDR on both sockets
-    another process may bind and listen on it, also after a restart, but the
-    operating system does not hand it out.
+    The sockets do not listen. The operating system does not assign their ports
+    to other sockets, but a process that sets SO_REUSEADDR, as this one does,
+    can bind and listen on such a port, also after a restart.
     """
 
     def __init__(self, host: str = "127.0.0.1") -> None:
--- a/packages/standins/src/lacewingspar_standins/prefix_cache.py
+++ b/packages/standins/src/lacewingspar_standins/prefix_cache.py
@@ -17,7 +17,7 @@
     """A change of the cache.
 
     Attributes:
-        sequence: Position in the feed, from 0; gaps are lost events.
+        sequence: Position in the feed, starting at 0; a gap is a lost event.
         kind: `stored` or `evicted`.
         blocks: Hashes of the blocks.
     """
@@ -28,11 +28,11 @@
 
 
 class CacheEventReply(msgspec.Struct, frozen=True):
-    """Answer to `GET /cache_events?from=N`.
+    """Response body of `GET /cache_events?from=N`.
 
     Attributes:
         next_sequence: Value of `from` for the next read.
-        events: Events that have become visible.
+        events: Visible events.
     """
 
     next_sequence: int
@@ -40,7 +40,7 @@
 
 
 def block_hashes(words: Sequence[str]) -> tuple[str, ...]:
-    """Return a hash for each full block, chained with the blocks before."""
+    """Return the hash of each full block, chained with the previous hash."""
     hashes: list[str] = []
     previous = ""
     full = len(words) - len(words) % WORDS_PER_BLOCK
@@ -56,10 +56,10 @@
     """Options of the cache.
 
     Attributes:
-        blocks: Number of blocks that fit in memory.
-        event_delay_seconds: Time until an event becomes visible.
+        blocks: Capacity in blocks.
+        event_delay_seconds: Delay until an event becomes visible.
         event_loss: Probability that an event is lost, from 0 to 1.
-        seed: Seed of the losses.
+        seed: Seed of the random event losses.
     """
 
     blocks: int = 4096
@@ -69,7 +69,7 @@
 
 
 class PrefixCache:
-    """Blocks of prompts in least-recently-used order."""
+    """Cache of prompt blocks with least-recently-used eviction."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         self._next_sequence = 0
 
     def use(self, words: Sequence[str]) -> int:
-        """Look a prompt up and store it.
+        """Look up a prompt and store its blocks.
 
         Returns:
             The number of leading words that were cached.
@@ -95,8 +95,9 @@
         hits = 0
         while hits < len(hashes) and hashes[hits] in self._blocks:
             hits += 1
-        # The first block becomes the most recent, so that eviction starts at
-        # the end of a prompt and never leaves unreachable blocks behind.
+        # The first block becomes the most recently used, so that eviction
+        # starts at the end of a prompt. A block without its predecessors
+        # could never be hit.
         for block in reversed(hashes):
             self._blocks[block] = None
             self._blocks.move_to_end(block)
@@ -114,8 +115,8 @@
             for at, event in self._events
             if at <= visible_before and event.sequence >= sequence
         )
-        following = events[-1].sequence + 1 if events else sequence
-        return CacheEventReply(following, events)
+        next_sequence = events[-1].sequence + 1 if events else sequence
+        return CacheEventReply(next_sequence, events)
 
     def _record(self, kind: str, blocks: Sequence[str]) -> None:
         if not blocks:
--- a/packages/standins/src/lacewingspar_standins/process.py
+++ b/packages/standins/src/lacewingspar_standins/process.py
@@ -14,19 +14,19 @@
 
 ANNOUNCE_TIMEOUT_SECONDS = 30.0
 REQUEST_TIMEOUT_SECONDS = 10.0
-SHOWN_LOG_BYTES = 2000
+LOG_TAIL_BYTES = 2000
 
 
 class FleetError(Exception):
-    """A process of the fleet did not do what was asked."""
+    """A process of the fleet failed to start, respond or accept a request."""
 
 
 class ManagedProcess:
-    """A process that the harness has started.
+    """A process started by the harness.
 
     Attributes:
         name: Name, unique in the fleet.
-        log_file: File that receives its output.
+        log_file: File that receives the output of the process.
     """
 
     def __init__(
@@ -38,34 +38,34 @@
 
     @property
     def is_running(self) -> bool:
-        """Return whether the process has not ended; it may be stopped."""
+        """Return whether the process has not ended; it may be suspended."""
         return self.process.returncode is None
 
     def kill(self) -> None:
-        """End the process at once."""
-        self._send(signal.SIGKILL)
+        """Kill the process."""
+        self._send_signal(signal.SIGKILL)
 
     def terminate(self) -> None:
         """Ask the process to shut down."""
-        self._send(signal.SIGTERM)
+        self._send_signal(signal.SIGTERM)
 
     def stop(self) -> None:
-        """Freeze the process."""
-        self._send(signal.SIGSTOP)
+        """Suspend the process."""
+        self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process continue."""
-        self._send(signal.SIGCONT)
+        """Resume a suspended process."""
+        self._send_signal(signal.SIGCONT)
 
     async def wait(self) -> int:
-        """Wait for the end and return the exit status."""
+        """Wait until the process ends and return its exit status."""
         return await self.process.wait()
 
     async def end(self, grace_seconds: float) -> None:
-        """Shut the process down, by force after a grace period."""
+        """Shut down the process, killing it after a grace period."""
         if self.is_running:
             self.terminate()
-            # A frozen process acts on the signal only when it continues.
+            # A suspended process handles the signal only after it resumes.
             self.resume()
         try:
             async with asyncio.timeout(grace_seconds):
@@ -75,11 +75,11 @@
             await self.wait()
 
     def end_of_log(self) -> str:
-        """Return the last part of the output, for error messages."""
-        data = self.log_file.read_bytes()[-SHOWN_LOG_BYTES:]
+        """Return the last bytes of the log file, for error messages."""
+        data = self.log_file.read_bytes()[-LOG_TAIL_BYTES:]
         return data.decode(errors="replace")
 
-    def _send(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         if self.is_running:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
@@ -89,7 +89,7 @@
     """A stand-in.
 
     Attributes:
-        address: Address as `host:port`.
+        address: Address of the service as `host:port`.
         control_address: Address of `/faults`.
         address_by_name: All announced addresses; a link group announces one
             for each target.
@@ -108,7 +108,7 @@
         """Wait until the stand-in announces its addresses.
 
         Raises:
-            FleetError: It ended before or took too long.
+            FleetError: The process ended or exceeded the timeout.
         """
         assert self.process.stdout is not None
         try:
@@ -118,7 +118,7 @@
             line = b""
         if not line:
             raise FleetError(
-                f"{self.name} announced no address: {self.end_of_log()}"
+                f"{self.name} did not announce an address: {self.end_of_log()}"
             )
         addresses = msgspec.json.decode(line, type=dict[str, str])
         self.address_by_name = addresses
@@ -126,14 +126,14 @@
         self.control_address = addresses.get("control_address", self.address)
 
     async def inject(self, **faults: object) -> dict[str, object]:
-        """Change faults and return those in force."""
-        answer = await self._request("POST", "/faults", faults)
-        return msgspec.json.decode(answer, type=dict[str, object])
+        """Change faults and return the active fault set."""
+        response = await self._request("POST", "/faults", faults)
+        return msgspec.json.decode(response, type=dict[str, object])
 
     async def get(self, path: str) -> dict[str, object]:
         """Read a JSON resource such as `/stats` or `/_runs`."""
-        answer = await self._request("GET", path, None)
-        return msgspec.json.decode(answer, type=dict[str, object])
+        response = await self._request("GET", path, None)
+        return msgspec.json.decode(response, type=dict[str, object])
 
     async def put(self, path: str, value: object) -> None:
         """Replace a JSON resource such as `/vms`."""
@@ -145,10 +145,10 @@
         async with httpx.AsyncClient(
             timeout=REQUEST_TIMEOUT_SECONDS, trust_env=False
         ) as client:
-            answer = await client.request(method, url, content=content)
-        if answer.status_code != 200:
-            raise FleetError(f"{method} {url}: {answer.text}")
-        return answer.content
+            response = await client.request(method, url, content=content)
+        if response.status_code != 200:
+            raise FleetError(f"{method} {url} failed: {response.text}")
+        return response.content
 
 
 class RouterProcess(ManagedProcess):
@@ -157,15 +157,15 @@
     async def wait_ready(
         self, admin_address: str, seconds: float, path: str = "/ready"
     ) -> None:
-        """Wait until the router says that it is ready.
+        """Wait until the router reports that it is ready.
 
         Args:
-            admin_address: Where it says so.
-            seconds: Longest time to wait.
-            path: Path of its answer.
+            admin_address: Address of the administration API.
+            seconds: Maximum time to wait.
+            path: Path of the readiness check.
 
         Raises:
-            FleetError: The router has ended or the time is over.
+            FleetError: The router ended or the time elapsed.
         """
         await self._wait_for(f"http://{admin_address}{path}", seconds)
 
@@ -173,7 +173,7 @@
         """Wait until `GET /live` succeeds.
 
         Raises:
-            FleetError: The router has ended or the time is over.
+            FleetError: The router ended or the time elapsed.
         """
         await self._wait_for(f"http://{admin_address}/live", seconds)
 
@@ -185,24 +185,26 @@
             ):
                 while self.is_running:
                     with contextlib.suppress(httpx.TransportError):
-                        answer = await client.get(url)
-                        if answer.status_code == 200:
+                        response = await client.get(url)
+                        if response.status_code == 200:
                             return
                     await asyncio.sleep(0.05)
         except TimeoutError:
             pass
-        state = "not answered" if self.is_running else "ended"
-        raise FleetError(f"{self.name} has {state} {url}: {self.end_of_log()}")
+        state = "did not respond" if self.is_running else "ended"
+        raise FleetError(
+            f"{self.name} {state}, polling {url}: {self.end_of_log()}"
+        )
 
 
 async def spawn(
     log_file: Path, arguments: list[str], *, reads_output: bool
 ) -> asyncio.subprocess.Process:
-    """Start a Python module with its output appended to a file.
+    """Start a Python interpreter with its output appended to a file.
 
     Args:
-        log_file: Receives the error output, and the standard output unless
-            `reads_output`.
+        log_file: File that receives the standard error, and the standard output
+            unless `reads_output`.
         arguments: Arguments of the interpreter.
         reads_output: Whether the caller reads the standard output.
     """
--- a/packages/standins/src/lacewingspar_standins/run_journal.py
+++ b/packages/standins/src/lacewingspar_standins/run_journal.py
@@ -1,4 +1,4 @@
-"""File that keeps the runs of an upstream stand-in across restarts."""
+"""Journal that preserves the runs of an upstream stand-in across restarts."""
 
 from pathlib import Path
 
@@ -6,12 +6,12 @@
 
 
 class RecordedRun(msgspec.Struct, frozen=True):
-    """One run.
+    """A run of a call.
 
     Attributes:
-        digest: Digest of the call's body, or "".
+        digest: SHA-256 hash of the body, or "".
         key: Idempotency key, or None.
-        request_id: Identity of the request, or None.
+        request_id: Id of the request, or None.
     """
 
     digest: str = ""
@@ -20,20 +20,20 @@
 
 
 class RunJournal:
-    """Appends runs to a file before they begin.
+    """Records each run in a file before it begins.
 
-    A killed stand-in would otherwise forget its runs, and a second run
-    elsewhere would not be seen.
+    Without the file, a killed stand-in would lose its counts, and a second run
+    of the same call elsewhere would go undetected.
 
     Args:
-        path: File that is created if needed; None keeps nothing.
+        path: File, created if missing; None disables the journal.
     """
 
     def __init__(self, path: Path | None) -> None:
         self._path = path
 
     def read(self) -> list[RecordedRun]:
-        """Return the runs of earlier processes."""
+        """Return the recorded runs, including those of earlier processes."""
         if self._path is None or not self._path.exists():
             return []
         decoder = msgspec.json.Decoder(RecordedRun)
--- a/packages/standins/src/lacewingspar_standins/server.py
+++ b/packages/standins/src/lacewingspar_standins/server.py
@@ -1,4 +1,4 @@
-"""Runs an ASGI application on uvicorn with faults at connection level."""
+"""ASGI server on uvicorn that exposes the transport for fault injection."""
 
 import asyncio
 import contextlib
@@ -12,15 +12,15 @@
 
 from lacewingspar_standins.asgi import EXTENSION_TRANSPORT, AsgiApp
 
-# Longer than a router keeps idle connections, so that the stand-in is never
-# the side that closes a connection which is about to be reused.
+# Longer than the idle timeout of routers, so that a stand-in never closes a
+# connection that a router is about to reuse.
 KEEP_ALIVE_SECONDS = 75
-GRACEFUL_SECONDS = 1
+GRACEFUL_SHUTDOWN_SECONDS = 1
 BACKLOG = 2048
 
 
 class TransportProtocol(HttpToolsProtocol):
-    """Hands the transport to the application, which may close it."""
+    """Exposes the transport to the application, which may close it."""
 
     def on_headers_complete(self) -> None:
         """Add the transport to the ASGI scope."""
@@ -30,7 +30,13 @@
 
 
 class StandInServer(uvicorn.Server):
-    """A uvicorn server that tells when it listens."""
+    """A uvicorn server with a callback that runs once it is listening.
+
+    Args:
+        app: ASGI application.
+        on_listen: Called once the server is listening.
+        signals: Whether to install the signal handlers of uvicorn.
+    """
 
     def __init__(
         self, app: AsgiApp, on_listen: Callable[[], None], *, signals: bool
@@ -45,20 +51,20 @@
                 backlog=BACKLOG,
                 server_header=False,
                 timeout_keep_alive=KEEP_ALIVE_SECONDS,
-                timeout_graceful_shutdown=GRACEFUL_SECONDS,
+                timeout_graceful_shutdown=GRACEFUL_SHUTDOWN_SECONDS,
             )
         )
         self._on_listen = on_listen
         self._signals = signals
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Start to listen."""
+        """Start listening."""
         await super().startup(sockets=sockets)
         self._on_listen()
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Handle signals only when the server owns the process."""
+        """Handle signals only if the server was created to do so."""
         if not self._signals:
             yield
             return
@@ -67,7 +73,7 @@
 
 
 def bind(host: str, port: int) -> socket.socket:
-    """Return a bound TCP socket; port 0 takes a free one."""
+    """Return a bound TCP socket; port 0 selects a free port."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bound.bind((host, port))
@@ -92,7 +98,10 @@
     announce_as: str = "address",
     **other_addresses: str,
 ) -> None:
-    """Serve until a signal arrives; announce the address when listening."""
+    """Serve until a signal arrives.
+
+    Announce the addresses once the server is listening.
+    """
     bound = bind(host, port)
     own_address = {announce_as: address_of(bound)}
     server = StandInServer(
@@ -103,7 +112,7 @@
 
 @contextlib.asynccontextmanager
 async def running(app: AsgiApp, host: str = "127.0.0.1") -> AsyncIterator[str]:
-    """Serve in this event loop on a free port.
+    """Serve in the current event loop on a free port.
 
     Yields:
         The address as `host:port`.
--- a/packages/standins/src/lacewingspar_standins/vms.py
+++ b/packages/standins/src/lacewingspar_standins/vms.py
@@ -17,10 +17,10 @@
     """Faults of the VM list.
 
     Attributes:
-        outage: Answer 503 at once.
-        refuse: Close connections without an answer.
-        lag_ms: Time until a change of the list becomes visible.
-        delay_ms: Time before an answer.
+        outage: Respond 503 at once.
+        refuse: Close connections without a response.
+        lag_ms: Delay until a change of the list becomes visible.
+        delay_ms: Delay of each response to a read.
     """
 
     outage: bool = False
@@ -37,11 +37,11 @@
         self._list = Lagged(VmList(()), faults.lag_ms / 1000)
 
     def faults_changed(self) -> None:
-        """Apply the lag."""
+        """Apply the changed lag."""
         self._list.lag_seconds = self.faults.lag_ms / 1000
 
     async def handle(self, request: Request) -> None:
-        """Answer a read or a change of the list."""
+        """Respond to a read or a change of the list."""
         if request.path != "/vms" or request.method not in {"GET", "PUT"}:
             await request.reply(404, {"error": "no such resource"})
             return
@@ -50,7 +50,7 @@
             await request.reply(200, {})
             return
         if self.faults.refuse:
-            await request.drop()
+            await request.abort()
             return
         if self.faults.outage:
             await request.reply(503, {"error": "VM list is down"})
@@ -59,7 +59,7 @@
         await self._reply_list(request)
 
     async def _reply_list(self, request: Request) -> None:
-        """Answer with the list, or without it if the client has it."""
+        """Respond with the list, or with 304 if the ETag matches."""
         vm_list = self._list.get()
         digest = hashlib.sha256(msgspec.json.encode(vm_list)).hexdigest()
         etag = f'"{digest[:_ETAG_DIGITS]}"'
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -14,7 +14,7 @@
 
 
 class Client:
-    """Talks JSON to a stand-in."""
+    """JSON client of a stand-in."""
 
     def __init__(self, http: httpx.AsyncClient, address: str) -> None:
         self.http = http
@@ -27,17 +27,17 @@
         return await self.http.request(method, url, json=value, headers=headers)
 
     async def get(self, path: str) -> Any:
-        answer = await self.send("GET", path)
-        assert answer.status_code == 200, answer.text
-        return answer.json()
+        response = await self.send("GET", path)
+        assert response.status_code == 200, response.text
+        return response.json()
 
     async def inject(self, **faults: Any) -> None:
-        answer = await self.send("POST", "/faults", faults)
-        assert answer.status_code == 200, answer.text
+        response = await self.send("POST", "/faults", faults)
+        assert response.status_code == 200, response.text
 
     async def wait_for(self, path: str, **expected: Any) -> None:
-        """Read a resource until it has the expected values."""
-        # It is read over HTTP, so there is no event to wait for.
+        """Poll a resource until it has the expected values."""
+        # The resource is read over HTTP, so there is no event to wait for.
         while not expected.items() <= (await self.get(path)).items():  # noqa: ASYNC110
             await asyncio.sleep(0.005)
 
--- a/tests/standins/test_batching.py
+++ b/tests/standins/test_batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching."""
+"""Tests of continuous batching."""
 
 import pytest
 
@@ -27,8 +27,8 @@
 
 
 @pytest.mark.parametrize("index", [0, 2], ids=["running", "waiting"])
-async def test_cancelled_request_frees_its_place(index: int) -> None:
-    """Guards against slots that stay taken after a client has gone."""
+async def test_cancelled_request_frees_its_slot(index: int) -> None:
+    """Guards against slots that stay occupied after a client disconnects."""
     batch, started = new_batch()
     requests = [Generation(["w"], 0, 1_000_000) for _ in range(4)]
     for request in requests:
--- a/tests/standins/test_capacity_fit.py
+++ b/tests/standins/test_capacity_fit.py
@@ -1,4 +1,4 @@
-"""Slopes of the capacity benchmark."""
+"""Tests of the line fit of the capacity benchmark."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 def test_line_through_points(
     values: tuple[float, ...], base: float, slope: float, error: float
 ) -> None:
-    """Guards against figures at the target that no point supports."""
+    """Guards against extrapolating beyond the measured points."""
     points = [Point(size, {"f": value}) for size, value in enumerate(values)]
     line = fit_lines(points)["f"]
     assert (line.base, line.slope) == pytest.approx((base, slope))
@@ -25,6 +25,6 @@
 
 
 def test_median_of_each_figure() -> None:
-    """Guards against one disturbed run that moves a figure."""
+    """Guards against one disturbed run that changes the reported figure."""
     runs = [{"f": 1.0, "g": 9.0}, {"f": 50.0, "g": 1.0}, {"f": 2.0, "g": 2.0}]
     assert median_figures(runs) == {"f": 2.0, "g": 2.0}
--- a/tests/standins/test_chat.py
+++ b/tests/standins/test_chat.py
@@ -1,4 +1,4 @@
-"""Chat requests and answers."""
+"""Tests of chat requests and responses."""
 
 from typing import Any
 
@@ -27,7 +27,7 @@
 
 
 def test_drawn_length_depends_only_on_seed_and_marker() -> None:
-    """Guards against a resumed stream of another length."""
+    """Guards against a resumed stream that changes its length."""
     first, again, other = (
         [draw_token_count(seed, f"m{n}", 64, 0.7) for n in range(50)]
         for seed in (1, 1, 2)
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine."""
+"""Tests of the engine stand-in."""
 
 import asyncio
 import re
@@ -55,15 +55,17 @@
 
 @pytest.mark.parametrize("first", [0, 3])
 @pytest.mark.parametrize("stream", [False, True])
-async def test_answer_is_whole(engine: Any, stream: bool, first: int) -> None:
+async def test_response_is_complete(
+    engine: Any, stream: bool, first: int
+) -> None:
     fields = {"stream": stream, "max_tokens": 5, "resume_from": first}
-    answer = await chat(engine, **fields)
+    response = await chat(engine, **fields)
     expected = [f"m:{number}" for number in range(first, 5)]
-    assert re.findall(r"m:\d+", answer.text) == expected
-    assert answer.text.count('"completion_tokens":5') == 1
-    assert answer.text.endswith("data: [DONE]\n\n") == stream
-    assert answer.headers["X-Request-Id"] == "r1"
-    ids = re.findall(r'"id":"([^"]*)"', answer.text)
+    assert re.findall(r"m:\d+", response.text) == expected
+    assert response.text.count('"completion_tokens":5') == 1
+    assert response.text.endswith("data: [DONE]\n\n") == stream
+    assert response.headers["X-Request-Id"] == "r1"
+    ids = re.findall(r'"id":"([^"]*)"', response.text)
     assert ids == ["r1"] * (len(expected) + 1 if stream else 1)
     accounts = (await engine.get("/accounts"))["seconds_by_account"]
     slot_seconds = (await engine.get("/stats"))["slot_seconds"]
@@ -81,23 +83,25 @@
     ],
 )
 async def test_bad_request(engine: Any, fields: Any, status: int) -> None:
-    """Guards against bad requests that run."""
+    """Guards against running malformed requests."""
     assert (await chat(engine, **fields)).status_code == status
     assert (await engine.get("/stats"))["started"] == 0
 
 
 async def test_closed_connection_cancels_the_request(engine: Any) -> None:
-    """Guards against engines that keep generating for clients that left."""
+    """Guards against generating for clients that have disconnected."""
     (await open_stream(engine, ENDLESS)).close()
     await engine.wait_for("/stats", cancelled=1)
     await engine.wait_for("/load", running=0)
 
 
-async def test_silence_of_old_streams(engine: Any, stays_pending: Any) -> None:
+async def test_silence_affects_existing_streams_only(
+    engine: Any, stays_pending: Any
+) -> None:
     connection = await open_stream(engine, ENDLESS)
     await engine.inject(silent=True)
     assert (await chat(engine, max_tokens=3)).status_code == 200
-    # What was sent before the fault is read first; then nothing comes.
+    # Read what was sent before the fault; nothing may follow.
     received: list[bytes] = []
     reader = asyncio.create_task(read_all(connection, received))
     await asyncio.sleep(0.1)
@@ -107,7 +111,9 @@
     connection.close()
 
 
-async def test_cut_stream_has_the_stated_number_of_events(engine: Any) -> None:
+async def test_cut_stream_has_the_configured_number_of_events(
+    engine: Any,
+) -> None:
     await engine.inject(cut_after=2)
     received: list[bytes] = []
     with pytest.raises(ClientError, match="closed"):
@@ -133,11 +139,11 @@
     ],
 )
 async def test_refusal(engine: Any, faults: Any, codes: Any, runs: int) -> None:
-    """Guards against a leaving engine that hides late requests."""
+    """Guards against a leaving engine that does not count late requests."""
     await engine.inject(**faults)
     health = await engine.send("GET", "/health")
-    answer = await chat(engine, max_tokens=1)
-    assert (health.status_code, answer.status_code) == codes
+    response = await chat(engine, max_tokens=1)
+    assert (health.status_code, response.status_code) == codes
     stats = await engine.get("/stats")
     assert stats["started"] == runs
     assert stats["arrived_after_leave"] == int("leave" in faults)
--- a/tests/standins/test_fault_checks.py
+++ b/tests/standins/test_fault_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the benchmark `faults`."""
+"""Tests of the checks of the benchmark `faults`."""
 
 from collections import Counter
 from typing import Any, cast
@@ -25,7 +25,7 @@
 
 
 def test_breaches_are_found() -> None:
-    """Guards against a benchmark that passes whatever it sees."""
+    """Guards against checks that never report a breach."""
     runs = UpstreamRuns(
         by_key=Counter({"ws/twice": 2, "ws/once": 1}),
         by_request_id=Counter(ran=1),
@@ -45,18 +45,18 @@
     ("address", "at_seconds", "is_cut"),
     [("r", 9.0, False), ("r", 11.0, True), ("s", 11.0, False)],
 )
-def test_request_without_answer_at_a_shutdown(
+def test_request_without_response_at_a_shutdown(
     address: str, at_seconds: float, is_cut: bool
 ) -> None:
-    """Guards against a cut that only the caller notices."""
+    """Guards against missing requests that a graceful shutdown cut off."""
     broken = BrokenConnection(at_seconds, address, "no_answer", "m")
     load = LoadResult(0.0, {}, (), (), (), {}, 0.0, (broken,))
     shutdowns = [GracefulShutdown("r", 10.0, 12.0)]
     assert bool(cut_by_shutdowns([load], shutdowns)) is is_cut
 
 
-def test_version_that_goes_back_is_a_breach() -> None:
-    """Guards against reverted versions that hide behind a restart."""
+def test_reverted_version_is_a_breach() -> None:
+    """Guards against missing a version that reverts across a restart."""
     watch = VersionWatch()
     for life, version in ((1, 5), (1, 4), (2, 4), (2, 5)):
         watch.note("r", cast(Any, life), {"chat": version})
--- a/tests/standins/test_faults.py
+++ b/tests/standins/test_faults.py
@@ -1,4 +1,4 @@
-"""Injection of faults."""
+"""Tests of fault injection."""
 
 from typing import Any
 
@@ -17,10 +17,10 @@
     ],
 )
 async def test_known_fields_change(serve: Any, patch: Any, status: int) -> None:
-    """Guards against a failure test that injects nothing, or ends a fault."""
+    """Guards against a bad patch that is ignored or clears active faults."""
     async with serve(LogService(LogOptions(), LogFaults())) as client:
         await client.inject(lose_replies=2)
-        answer = await client.send("POST", "/faults", patch)
+        response = await client.send("POST", "/faults", patch)
         faults = await client.get("/faults")
-    assert answer.status_code == status
+    assert response.status_code == status
     assert (faults["lose_replies"], faults["outage"]) == (2, status == 200)
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -1,4 +1,4 @@
-"""Fleet harness."""
+"""Tests of the fleet harness."""
 
 import os
 from pathlib import Path
@@ -14,15 +14,15 @@
 
 
 async def test_all_processes_end_with_the_fleet(tmp_path: Path) -> None:
-    """Guards against processes that outlive a failed test."""
+    """Guards against processes that keep running after a failed test."""
     pids: list[int] = []
 
     async def use_fleet() -> None:
         async with Fleet(tmp_path) as fleet:
             log = await fleet.start_standin("log", faults={"outage": True})
-            frozen = await fleet.start_standin("vms", lag_ms=0)
+            suspended = await fleet.start_standin("vms", lag_ms=0)
             link = await fleet.start_standin("link", target=log.address)
-            pids.extend(p.process.pid for p in (log, frozen, link))
+            pids.extend(p.process.pid for p in (log, suspended, link))
             assert (await link.inject(cut=True))["cut"]
             assert (await log.get("/faults"))["outage"]
             async with httpx.AsyncClient(trust_env=False) as client:
@@ -30,7 +30,7 @@
                     await client.get(f"{link.url}/faults")
             log.kill()
             assert await log.wait() == -9
-            frozen.stop()
+            suspended.stop()
             raise KeyError
 
     with pytest.raises(KeyError):
@@ -62,7 +62,7 @@
 
 
 def test_settings_match_the_schema_of_the_router(tmp_path: Path) -> None:
-    """Guards against settings that every router refuses."""
+    """Guards against settings that routers reject."""
     plans = [
         RouterPlan(f"r{n}", "dc", *(f"127.0.0.1:{n}{p}" for p in (1, 2, 3)))
         for n in range(1, 4)
--- a/tests/standins/test_http_client.py
+++ b/tests/standins/test_http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the load generator."""
+"""Tests of the HTTP client of the load generator."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,12 +18,18 @@
 
 
 @asynccontextmanager
-async def scripted(*answers: bytes) -> AsyncIterator[tuple[str, list[int]]]:
-    """Yield address and connection list of a server with given answers."""
-    remaining = list(answers)
+async def serve_responses(
+    *responses: bytes,
+) -> AsyncIterator[tuple[str, list[int]]]:
+    """Serve the given responses in order.
+
+    Yields:
+        The address and a list with one item for each connection.
+    """
+    remaining = list(responses)
     connections: list[int] = []
 
-    async def answer(
+    async def response(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         connections.append(1)
@@ -32,14 +38,14 @@
             writer.write(remaining.pop(0))
         writer.close()
 
-    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    server = await asyncio.start_server(response, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     yield f"{host}:{port}", connections
     server.close()
 
 
 async def exchange(pool: ConnectionPool, address: str) -> bytes | str:
-    """Return the answer's body, or the outcome if it is incomplete."""
+    """Return the response body, or the outcome if the exchange fails."""
     try:
         connection = await pool.take(address)
         await connection.exchange(encode_request("GET", "/", address, {}, b""))
@@ -51,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "expected"),
+    ("response", "expected"),
     [
         (HEAD + b"content-length: 2\r\n\r\nok", b"ok"),
         (CHUNKED + b"2\r\nok\r\n0\r\n\r\n", b"ok"),
@@ -63,9 +69,11 @@
         (b"nonsense\r\n\r\n", "no_answer"),
     ],
 )
-async def test_cut_answers_are_errors(answer: bytes, expected: Any) -> None:
-    """Guards against a cut answer that counts as complete."""
-    async with scripted(answer) as (address, _):
+async def test_incomplete_responses_are_errors(
+    response: bytes, expected: Any
+) -> None:
+    """Guards against counting an incomplete response as complete."""
+    async with serve_responses(response) as (address, _):
         assert await exchange(ConnectionPool(), address) == expected
 
 
@@ -75,7 +83,10 @@
 async def test_connection_reuse(header: bytes, connection_count: int) -> None:
     head = HEAD + header + b"content-length: 2\r\n\r\n"
     pool = ConnectionPool()
-    async with scripted(head + b"ab", head + b"cd") as (address, connections):
+    async with serve_responses(head + b"ab", head + b"cd") as (
+        address,
+        connections,
+    ):
         bodies = [await exchange(pool, address) for _ in range(2)]
     assert (bodies, len(connections)) == ([b"ab", b"cd"], connection_count)
     pool.close()
--- a/tests/standins/test_link.py
+++ b/tests/standins/test_link.py
@@ -1,4 +1,4 @@
-"""Stand-in for a network link."""
+"""Tests of the network link stand-in."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 async def echo_link(serve: Any) -> AsyncIterator[tuple[str, Any]]:
-    """Yield the address of a link to an echo server and its control."""
+    """Yield the address of a link to an echo server and a control client."""
 
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
@@ -57,7 +57,7 @@
 
 
 async def test_shorter_delay_does_not_reorder(echo_link: Any) -> None:
-    """Guards against bytes that overtake earlier ones."""
+    """Guards against reordered bytes when the delay is reduced."""
     address, control = echo_link
     await control.inject(delay_ms=200)
     streams = await connect(address)
@@ -82,7 +82,7 @@
 
 
 async def test_group_shares_its_faults(echo_link: Any, serve: Any) -> None:
-    """Guards against a partition that leaves one connection open."""
+    """Guards against a simulated partition that leaves a connection open."""
     targets = [echo_link[0], echo_link[1].address]
     group = LinkGroup(targets, LinkFaults())
     async with group.listening("127.0.0.1") as relays, serve(group) as control:
@@ -99,7 +99,7 @@
 
 
 async def test_silence(echo_link: Any, stays_pending: Any) -> None:
-    """Guards against a silent connection that the other side sees close."""
+    """Guards against a silent connection whose peer sees it close."""
     address, control = echo_link
     old = await connect(address)
     await send_and_receive(old, b"x")
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -1,4 +1,4 @@
-"""Load generator."""
+"""Tests of the load generator."""
 
 from typing import Any
 
@@ -43,8 +43,8 @@
         return await run_load(LoadOptions(**fields))
 
 
-class Refusing(PlainService):
-    """Refuses a number of requests, then answers as a plain service."""
+class RefusingService(PlainService):
+    """Refuses a number of requests, then acts as a plain service."""
 
     def __init__(self, refusals: int, run: str) -> None:
         super().__init__(PlainOptions(), PlainFaults())
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("chat_share", [0, 1])
-async def test_both_loops_get_all_answers(chat_share: int) -> None:
+async def test_both_loops_receive_all_responses(chat_share: int) -> None:
     app = new_engine() if chat_share else new_plain()
     result = await load(app, chat_share=chat_share, keyed_share=1)
     assert result.problems == ()
@@ -86,7 +86,7 @@
     ],
 )
 async def test_outcomes(faults: Any, options: Any, outcome: str) -> None:
-    """Guards against failures that the result does not show."""
+    """Guards against failures that are missing from the result."""
     result = await load(new_engine(**faults), **options)
     for workspace in result.by_workspace.values():
         assert workspace.finals_by_outcome == {outcome: 40}
@@ -101,9 +101,9 @@
     ],
 )
 async def test_repeat(run: str, keyed: int, attempts: int, finals: Any) -> None:
-    """Guards against a second attempt of a call that may have run."""
+    """Guards against repeating a call without a key that may have run."""
     result = await load(
-        Refusing(3, run),
+        RefusingService(3, run),
         workspaces=(CLOSED,),
         max_requests=1,
         chat_share=0,
--- a/tests/standins/test_load_check.py
+++ b/tests/standins/test_load_check.py
@@ -1,4 +1,4 @@
-"""Checks of answers."""
+"""Tests of the response checks of the load generator."""
 
 from collections.abc import Callable
 from typing import Any
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from lacewingspar_standins.chat import END_OF_STREAM, AnswerFormat, usage
+from lacewingspar_standins.chat import END_OF_STREAM, ResponseFormat, usage
 from lacewingspar_standins.http_client import ClientError
 from lacewingspar_standins.load_check import (
     ErrorEventError,
@@ -17,17 +17,19 @@
 from lacewingspar_standins.load_options import PlannedRequest
 
 PLANNED = PlannedRequest("m", "/", {}, b"body", tokens=4, is_stream=True)
-GOOD = AnswerFormat("r1", "model", "m")
-OTHER_ID = AnswerFormat("r2", "model", "m")
-OTHER_MARKER = AnswerFormat("r1", "model", "other")
+GOOD = ResponseFormat("r1", "model", "m")
+OTHER_ID = ResponseFormat("r2", "model", "m")
+OTHER_MARKER = ResponseFormat("r1", "model", "other")
 USAGE = usage(3, 0, 4)
 WITH_USAGE = GOOD.last_event(USAGE)
 LAST = [WITH_USAGE, END_OF_STREAM]
 ERROR = b'data: {"error": {"code": "cut", "run": "unknown"}}\n\n'
 
 
-def tokens(first: int, end: int, answer: AnswerFormat = GOOD) -> list[bytes]:
-    return answer.token_events(first, end)
+def tokens(
+    first: int, end: int, response_format: ResponseFormat = GOOD
+) -> list[bytes]:
+    return response_format.token_events(first, end)
 
 
 def outcome_of(check: Callable[[], None]) -> str:
@@ -58,7 +60,7 @@
     ],
 )
 def test_stream(events: list[bytes], expected: str, part_bytes: int) -> None:
-    """Guards against a generator that overlooks mixed or cut answers."""
+    """Guards against missing mixed-up or incomplete responses."""
     data = b"".join(events)
 
     def check() -> None:
@@ -87,12 +89,12 @@
         ({}, "wrong_answer"),
     ],
 )
-def test_whole_answer_of_the_request(value: Any, expected: str) -> None:
+def test_whole_response_of_the_request(value: Any, expected: str) -> None:
     body = msgspec.json.encode(value)
     outcome = outcome_of(lambda: check_whole_chat(PLANNED, "r1", body))
     assert outcome == expected
 
 
 @pytest.mark.parametrize("body", [b"{}", b"[]", b'{"digest": "0"}', b""])
-def test_plain_answer_to_another_body_is_wrong(body: bytes) -> None:
+def test_plain_response_to_another_body_is_wrong(body: bytes) -> None:
     assert outcome_of(lambda: check_plain(PLANNED, body)) == "wrong_answer"
--- a/tests/standins/test_load_options.py
+++ b/tests/standins/test_load_options.py
@@ -1,4 +1,4 @@
-"""Requests of the load generator."""
+"""Tests of the requests of the load generator."""
 
 import msgspec
 
@@ -15,7 +15,7 @@
 
 
 def test_requests_depend_only_on_seed_and_number() -> None:
-    """Guards against runs that cannot be repeated."""
+    """Guards against runs that are not reproducible."""
     first = [plan_request(OPTIONS, WORKSPACE, n) for n in range(50)]
     again = [plan_request(OPTIONS, WORKSPACE, n) for n in reversed(range(50))]
     other_options = msgspec.structs.replace(OPTIONS, seed=2)
--- a/tests/standins/test_load_result.py
+++ b/tests/standins/test_load_result.py
@@ -1,4 +1,4 @@
-"""Result of a load generator run."""
+"""Tests of the result of a load generator run."""
 
 import pytest
 from hdrh.histogram import HdrHistogram
@@ -8,7 +8,7 @@
 
 @pytest.mark.parametrize("seconds", [0.0, 0.001, 1.5, 1e9])
 def test_histogram_keeps_extreme_values(seconds: float) -> None:
-    """Guards against latencies that are dropped because they are too long."""
+    """Guards against dropping latencies outside the histogram's range."""
     recorder = Recorder(("a",))
     recorder.by_workspace["a"].record_latency(seconds)
     latency = recorder.result(1).by_workspace["a"].latency
--- a/tests/standins/test_log.py
+++ b/tests/standins/test_log.py
@@ -1,4 +1,4 @@
-"""Stand-in for the log service."""
+"""Tests of the log service stand-in."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -54,7 +54,7 @@
 
 
 async def test_outage_ends_waiting_reads(log: Any) -> None:
-    """Guards against an outage that readers notice a minute later."""
+    """Guards against waiting reads that miss an outage until they time out."""
     path = f"{RECORDS}?from=0&wait_ms=60000"
     waiting = asyncio.create_task(log.send("GET", path))
     await asyncio.sleep(0.05)
@@ -66,7 +66,7 @@
     ("faults", "kept"), [({"lose_replies": 1}, 1), ({"refuse": True}, 0)]
 )
 async def test_lost_reply_and_refusal(log: Any, faults: Any, kept: int) -> None:
-    """Guards against a lost reply whose record is lost as well."""
+    """Guards against losing the record together with its reply."""
     await log.inject(**faults)
     with pytest.raises(httpx.RemoteProtocolError):
         await append(log, b"a")
@@ -77,25 +77,25 @@
 async def test_append_beyond_the_limit_is_refused(serve: Any) -> None:
     options = LogOptions(appends_per_second=0.5)
     async with serve(LogService(options, LogFaults())) as client:
-        answer = await client.send("POST", RECORDS, {"records": ["YQ=="]})
-    assert (answer.status_code, answer.headers["retry-after"]) == (429, "1")
+        response = await client.send("POST", RECORDS, {"records": ["YQ=="]})
+    assert (response.status_code, response.headers["retry-after"]) == (429, "1")
 
 
 @pytest.mark.parametrize("query", ["from=-1", "from=x", "wait_ms=1.5"])
 async def test_malformed_read_is_refused(log: Any, query: str) -> None:
-    answer = await log.send("GET", f"{RECORDS}?{query}")
-    assert answer.status_code == 400
+    response = await log.send("GET", f"{RECORDS}?{query}")
+    assert response.status_code == 400
 
 
 def test_append_limit_allows_its_rate(clock: Any) -> None:
     limit = AppendLimit(10, clock)
-    first = sum(limit.take() for _ in range(50))
+    first = sum(limit.try_acquire() for _ in range(50))
     clock.return_value += 0.5
-    second = sum(limit.take() for _ in range(50))
+    second = sum(limit.try_acquire() for _ in range(50))
     assert (first, second) == (10, 5)
 
 
-def test_expired_records_are_gone_and_offsets_stay() -> None:
+def test_expired_records_are_removed_and_offsets_stay() -> None:
     now_ms = [0]
     stream = LogStream(1000, lambda: now_ms[0])
     stream.append((b"a", b"b"))
--- a/tests/standins/test_plain.py
+++ b/tests/standins/test_plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service."""
+"""Tests of the plain service stand-in."""
 
 import asyncio
 import hashlib
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def gate() -> asyncio.Event:
-    """Return an event that calls with work wait for."""
+    """Return an event that calls with a work time wait for."""
     return asyncio.Event()
 
 
@@ -42,12 +42,12 @@
 
 
 async def test_runs_are_counted_by_key_and_digest(plain: Any) -> None:
-    """Guards against a second run that no count shows."""
+    """Guards against a second run that is not counted."""
     headers = {"Idempotency-Key": "k", "X-Request-Id": "r"}
-    answers = [await call(plain, **headers), await call(plain)]
-    assert [answer.json()["run"] for answer in answers] == [1, 2]
-    assert answers[0].json()["digest"] == DIGEST
-    assert answers[0].headers["X-Request-Id"] == "r"
+    responses = [await call(plain, **headers), await call(plain)]
+    assert [response.json()["run"] for response in responses] == [1, 2]
+    assert responses[0].json()["digest"] == DIGEST
+    assert responses[0].headers["X-Request-Id"] == "r"
     assert await plain.get("/_runs") == {
         "arrived": 2,
         "total": 2,
@@ -58,7 +58,7 @@
 
 
 async def test_slot_time_goes_to_the_account_of_the_marker(plain: Any) -> None:
-    """Guards against a fairness measure that misses plain calls."""
+    """Guards against a fairness measurement that misses plain calls."""
     await plain.send("POST", "/a", {"marker": "tenant.1.2"})
     await call(plain)
     accounts = (await plain.get("/accounts"))["seconds_by_account"]
@@ -77,21 +77,23 @@
     [({"refuse": True}, {}, 503), ({}, {"X-Work-Ms": "long"}, 400)],
 )
 async def test_refusal(plain: Any, faults: Any, head: Any, status: int) -> None:
-    """Guards against refused calls that run."""
+    """Guards against running refused calls."""
     await plain.inject(**faults)
     assert (await call(plain, **head)).status_code == status
     assert (await plain.get("/_runs"))["total"] == 0
 
 
-async def test_waiting_call_of_a_gone_client(plain: Any, gate: Any) -> None:
-    """Guards against a run that a client could not ask for any more."""
+async def test_waiting_call_of_a_disconnected_client(
+    plain: Any, gate: Any
+) -> None:
+    """Guards against running a call whose client has disconnected."""
     first = start_work(plain)
     await plain.wait_for("/load", running=1, waiting=0)
     second = start_work(plain)
     await plain.wait_for("/load", running=1, waiting=1)
     second.cancel()
     await asyncio.gather(second, return_exceptions=True)
-    # The service must see the connection close before the slot gets free.
+    # The service must see the closed connection before a slot is free.
     await asyncio.sleep(0.1)
     gate.set()
     assert (await first).status_code == 200
@@ -109,11 +111,11 @@
 
 
 async def test_runs_survive_a_restart(serve: Any, tmp_path: Path) -> None:
-    """Guards against a second run that a killed process hides."""
+    """Guards against losing the counted runs when the process is killed."""
     options = replace(OPTIONS, runs_file=tmp_path / "runs")
     for runs in (1, 2):
         async with serve(PlainService(options, PlainFaults())) as client:
             await call(client, **{"Idempotency-Key": "k", "X-Work-Ms": "0"})
-            answer = await client.get("/_runs")
-        assert answer["by_key"] == {"k": runs}
-        assert answer["arrived"] == 1
+            response = await client.get("/_runs")
+        assert response["by_key"] == {"k": runs}
+        assert response["arrived"] == 1
--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -1,4 +1,4 @@
-"""Reserved ports."""
+"""Tests of port reservation."""
 
 import socket
 
@@ -6,8 +6,8 @@
 from lacewingspar_standins.server import address_of, bind
 
 
-def test_reserved_port_can_be_listened_on_again_and_again() -> None:
-    """Guards against a router that cannot start again on its ports."""
+def test_reserved_port_can_be_listened_on_repeatedly() -> None:
+    """Guards against a router that cannot restart on its ports."""
     reservations = PortReservations()
     host, _, port = reservations.reserve().rpartition(":")
     for _ in range(2):
@@ -18,7 +18,7 @@
     reservations.close()
 
 
-def test_reserved_ports_are_handed_out_once() -> None:
+def test_reserved_ports_are_assigned_once() -> None:
     reservations = PortReservations()
     addresses = [reservations.reserve() for _ in range(200)]
     others = [bind("127.0.0.1", 0) for _ in range(200)]
--- a/tests/standins/test_prefix_cache.py
+++ b/tests/standins/test_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Prompt-prefix cache."""
+"""Tests of the prefix cache."""
 
 from typing import Any
 
@@ -21,21 +21,21 @@
     ],
 )
 def test_only_a_common_prefix_is_cached(words: list[str], cached: int) -> None:
-    """Guards against hits for blocks with another text before them."""
+    """Guards against hits for blocks that follow a different prefix."""
     cache = PrefixCache(CacheOptions())
     assert cache.use(PROMPT) == 0
     assert cache.use(words) == cached
 
 
 def test_full_memory_evicts_the_end_of_the_oldest_prompt() -> None:
-    """Guards against blocks that stay although their prefix is gone."""
+    """Guards against keeping blocks whose prefix was evicted."""
     cache = PrefixCache(CacheOptions(blocks=5))
     cache.use(PROMPT)
     cache.use(["x"] * 32)
     assert cache.use(PROMPT) == 48
 
 
-def test_events_are_late_and_have_gaps(clock: Any) -> None:
+def test_events_are_delayed_and_have_gaps(clock: Any) -> None:
     options = CacheOptions(event_delay_seconds=2, event_loss=0.5, seed=3)
     cache = PrefixCache(options, clock)
     for number in range(40):
--- a/tests/standins/test_vms.py
+++ b/tests/standins/test_vms.py
@@ -1,4 +1,4 @@
-"""Stand-in for the VM list."""
+"""Tests of the VM list stand-in."""
 
 from typing import Any
 
@@ -21,12 +21,12 @@
 async def test_unknown_state_is_refused(serve: Any, state: Any) -> None:
     entry = {"name": "vm-1", "data_centre": "dc-1", "state": state}
     async with serve(VmListService(VmsFaults())) as client:
-        answer = await client.send("PUT", "/vms", {"vms": [entry]})
-    assert answer.status_code == 400
+        response = await client.send("PUT", "/vms", {"vms": [entry]})
+    assert response.status_code == 400
 
 
-async def test_unchanged_list_is_answered_without_a_body(serve: Any) -> None:
-    """Guards the conditional requests that routers send."""
+async def test_unchanged_list_is_sent_without_a_body(serve: Any) -> None:
+    """Guards against sending an unchanged list to a conditional request."""
     async with serve(VmListService(VmsFaults())) as client:
         await client.send("PUT", "/vms", LIST)
         first = await client.send("GET", "/vms")
