--- a/packages/standins/src/lacewingspar_standins/deployed/upstream.py
+++ b/packages/standins/src/lacewingspar_standins/deployed/upstream.py
@@ -134,8 +134,8 @@
     Args:
         upstream_id: Id of the upstream.
         events: Number of events of a stream.
-        pause_seconds: Time that a request runs before its response starts,
-            and time after each event of a stream.
+        pause_seconds: Delay before a response starts and after each
+            event of a stream.
     """
 
     def __init__(
