--- a/tests/standins/test_fault_checks.py
+++ b/tests/standins/test_fault_checks.py
@@ -48,7 +48,7 @@
 def test_request_without_response_at_a_shutdown(
     address: str, at_seconds: float, is_cut: bool
 ) -> None:
-    """Guards against missing requests that a graceful shutdown cut off."""
+    """Guards against overlooking requests cut off by a graceful shutdown."""
     broken = BrokenConnection(at_seconds, address, "no_answer", "m")
     load = LoadResult(0.0, {}, (), (), (), {}, 0.0, (broken,))
     shutdowns = [GracefulShutdown("r", 10.0, 12.0)]
@@ -56,7 +56,7 @@
 
 
 def test_reverted_version_is_a_breach() -> None:
-    """Guards against missing a version that reverts across a restart."""
+    """Guards against overlooking a version that reverts across a restart."""
     watch = VersionWatch()
     for life, version in ((1, 5), (1, 4), (2, 4), (2, 5)):
         watch.note("r", cast(Any, life), {"chat": version})
--- a/tests/standins/test_load_check.py
+++ b/tests/standins/test_load_check.py
@@ -60,7 +60,7 @@
     ],
 )
 def test_stream(events: list[bytes], expected: str, part_bytes: int) -> None:
-    """Guards against missing mixed-up or incomplete responses."""
+    """Guards against overlooking mixed-up or incomplete responses."""
     data = b"".join(events)
 
     def check() -> None:
