--- a/packages/ctl/src/lacewingspar_ctl/client.py
+++ b/packages/ctl/src/lacewingspar_ctl/client.py
@@ -8,7 +8,14 @@
 import httpx
 import msgspec
 
-from lacewingspar_ctl.answers import (
+from lacewingspar_ctl.errors import (
+    BadInputError,
+    CtlError,
+    RefusedError,
+    RouterUnreachableError,
+    UnknownOutcomeError,
+)
+from lacewingspar_ctl.responses import (
     Accepted,
     Conflict,
     ErrorResponse,
@@ -18,13 +25,6 @@
     ServiceResponse,
     Unknown,
 )
-from lacewingspar_ctl.errors import (
-    BadInputError,
-    CtlError,
-    RefusedError,
-    RouterUnreachableError,
-    UnknownOutcomeError,
-)
 
 CONNECT_TIMEOUT_SECONDS = 3.0
 # A router responds to a publish only after reading the edit back from the log
--- a/packages/ctl/src/lacewingspar_ctl/commands/publish.py
+++ b/packages/ctl/src/lacewingspar_ctl/commands/publish.py
@@ -9,13 +9,6 @@
 import typer
 
 from lacewingspar_core.documents import dump_document
-from lacewingspar_ctl.answers import (
-    Accepted,
-    Conflict,
-    Invalid,
-    PublishResult,
-    Unknown,
-)
 from lacewingspar_ctl.client import AdminClient
 from lacewingspar_ctl.errors import (
     BadInputError,
@@ -24,6 +17,13 @@
 )
 from lacewingspar_ctl.files import read_document
 from lacewingspar_ctl.output import Output
+from lacewingspar_ctl.responses import (
+    Accepted,
+    Conflict,
+    Invalid,
+    PublishResult,
+    Unknown,
+)
 from lacewingspar_ctl.session import ENV_AUTHOR, Session, session_of
 
 
--- a/packages/router/src/lacewingspar_router/application.py
+++ b/packages/router/src/lacewingspar_router/application.py
@@ -41,7 +41,7 @@
 
 SetupFunction = Callable[["Application"], Awaitable[None]]
 Hook = Callable[[], Awaitable[None]]
-CutHook = Callable[[], Awaitable[int]]
+AbortHook = Callable[[], Awaitable[int]]
 
 
 class Application:
@@ -62,7 +62,7 @@
         self._component_by_name: dict[str, Any] = {}
         self._unload_hooks: list[tuple[str, Hook]] = []
         self._drain_hooks: list[tuple[str, Hook]] = []
-        self._cut_hooks: list[CutHook] = []
+        self._abort_hooks: list[AbortHook] = []
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def now(self) -> float:
@@ -84,12 +84,12 @@
         """
         self._drain_hooks.append((name, hook))
 
-    def on_cut(self, hook: CutHook) -> None:
+    def on_abort(self, hook: AbortHook) -> None:
         """Call a hook when a graceful shutdown is aborted.
 
         A hook aborts the requests in flight and returns their number.
         """
-        self._cut_hooks.append(hook)
+        self._abort_hooks.append(hook)
 
     def on_unload(self, name: str, hook: Hook) -> None:
         """Call a hook when the application stops, in reverse set-up order."""
@@ -125,9 +125,9 @@
             await hook()
             _LOGGER.debug("component drained", component=name)
 
-    async def async_cut(self) -> int:
+    async def async_abort_requests(self) -> int:
         """Abort the requests in flight and return their number."""
-        return sum([await hook() for hook in self._cut_hooks])
+        return sum([await hook() for hook in self._abort_hooks])
 
     async def async_stop(self) -> None:
         """Unload all components and cancel all tasks."""
--- a/packages/router/src/lacewingspar_router/components/caller_api/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/__init__.py
@@ -29,7 +29,7 @@
 
     application.on_drain("caller_api", async_drain)
     application.on_unload("caller_api", async_unload)
-    application.on_cut(proxy.async_cut_requests)
+    application.on_abort(proxy.async_abort_requests)
     await server.async_start()
 
 
--- a/packages/router/src/lacewingspar_router/components/caller_api/calls.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/calls.py
@@ -32,7 +32,7 @@
 )
 from lacewingspar_router.components.quarantine.models import (
     QUARANTINE,
-    Subject,
+    RequestIdentity,
 )
 from lacewingspar_router.components.telemetry.models import TELEMETRY
 from lacewingspar_router.components.upstreams.errors import (
@@ -63,7 +63,7 @@
     """
 
     request: CallerRequest
-    subject: Subject
+    subject: RequestIdentity
     exchange: Exchange
     track: RequestTrack
     claim: ClaimGranted | None
@@ -98,7 +98,7 @@
         Raises:
             RequestRefusedError: The request gets a refusal.
         """
-        subject = Subject(
+        subject = RequestIdentity(
             request.document.service, request.target, request.body
         )
         self._slots.check(subject)
@@ -167,7 +167,7 @@
                 ):
                     return await self._async_attempt(call, use)
             except asyncio.CancelledError:
-                self._end_run(use, is_left=True)
+                self._end_run(use, has_caller_left=True)
                 raise
             except UpstreamError as error:
                 use.release(slot_outcome(error))
@@ -209,12 +209,12 @@
         """Begin to check whether an upstream has crashed, if it may have."""
         if use.run is None or not isinstance(error, UpstreamBrokenError):
             return None
-        return self._quarantine.on_break(use.run)
+        return self._quarantine.start_crash_check(use.run)
 
-    def _end_run(self, use: SlotUse, *, is_left: bool = False) -> None:
+    def _end_run(self, use: SlotUse, *, has_caller_left: bool = False) -> None:
         run, use.run = use.run, None
         if run is not None:
-            self._quarantine.end(run, is_left=is_left)
+            self._quarantine.end(run, has_caller_left=has_caller_left)
 
     async def _async_attempt(self, call: Call, use: SlotUse) -> str:
         """Send a request to one upstream and pass its answer on."""
--- a/packages/router/src/lacewingspar_router/components/caller_api/in_flight.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/in_flight.py
@@ -161,7 +161,7 @@
         """Wait until no request is in flight."""
         await self._empty.wait()
 
-    async def async_cut(self) -> int:
+    async def async_abort_requests(self) -> int:
         """End all requests in flight, log each and return their number."""
         self.is_cut = True
         running = list(self._running.values())
--- a/packages/router/src/lacewingspar_router/components/caller_api/models.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/models.py
@@ -15,7 +15,7 @@
     def request_path(self, request_id: str) -> dict[str, Any] | None:
         """Return the path of a recent request as JSON values."""
 
-    async def async_cut_requests(self) -> int:
+    async def async_abort_requests(self) -> int:
         """End all requests in flight, log each and return their number."""
 
 
--- a/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
@@ -82,9 +82,9 @@
         """Return the path of a recent request as JSON values."""
         return self.in_flight.path(request_id)
 
-    async def async_cut_requests(self) -> int:
+    async def async_abort_requests(self) -> int:
         """End all requests in flight, log each and return their number."""
-        return await self.in_flight.async_cut()
+        return await self.in_flight.async_abort_requests()
 
     async def async_handle(
         self, scope: Any, receive: Receive, send: Send
--- a/packages/router/src/lacewingspar_router/components/caller_api/slot_wait.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/slot_wait.py
@@ -21,7 +21,7 @@
 )
 from lacewingspar_router.components.quarantine.models import (
     QUARANTINE,
-    Subject,
+    RequestIdentity,
 )
 from lacewingspar_router.components.scheduler.models import (
     SCHEDULER,
@@ -42,23 +42,23 @@
         self._quarantine = application.get(QUARANTINE)
         self._scheduler = application.get(SCHEDULER)
         self._upstreams = application.get(UPSTREAMS)
-        self._limit_by_subject: dict[Subject, asyncio.Timeout] = {}
+        self._limit_by_subject: dict[RequestIdentity, asyncio.Timeout] = {}
         self._quarantine.add_listener(self._end_quarantined_waits)
 
-    def check(self, subject: Subject) -> None:
+    def check(self, subject: RequestIdentity) -> None:
         """Check that a request is not in quarantine.
 
         Raises:
             RequestRefusedError: It is.
         """
-        seconds = self._quarantine.refused_seconds(subject)
+        seconds = self._quarantine.remaining_quarantine_seconds(subject)
         if seconds > 0:
             raise quarantined(seconds)
 
     async def async_acquire(
         self,
         request: CallerRequest,
-        subject: Subject,
+        subject: RequestIdentity,
         attempts: Attempts,
         deadline_at: float,
     ) -> SlotUse:
@@ -67,7 +67,7 @@
         Raises:
             RequestRefusedError: The request is refused; it was not sent.
         """
-        await self._quarantine.async_wait_confirmed(subject)
+        await self._quarantine.async_wait_for_crash_checks(subject)
         while True:
             self.check(subject)
             grant = await self._async_grant(
@@ -91,7 +91,7 @@
     async def _async_grant(
         self,
         request: CallerRequest,
-        subject: Subject,
+        subject: RequestIdentity,
         attempts: Attempts,
         deadline_at: float,
     ) -> SlotGrant | None:
@@ -118,7 +118,7 @@
     async def _async_busy_upstreams(
         self,
         request: CallerRequest,
-        subject: Subject,
+        subject: RequestIdentity,
         failed: frozenset[str],
         deadline_at: float,
     ) -> frozenset[str]:
@@ -128,7 +128,7 @@
             return upstreams_with_new_work(request, self._upstreams) - failed
 
         try:
-            return await self._quarantine.async_busy_upstreams(
+            return await self._quarantine.async_wait_for_free_upstream(
                 subject, usable, deadline_at
             )
         except NoUpstreamForSuspectError as error:
@@ -138,7 +138,9 @@
         """End the waits of requests that are in quarantine now."""
         now = asyncio.get_running_loop().time()
         for subject, limit in self._limit_by_subject.items():
-            is_refused = self._quarantine.refused_seconds(subject) > 0
+            is_refused = (
+                self._quarantine.remaining_quarantine_seconds(subject) > 0
+            )
             # A limit that has expired can no longer be changed.
             if is_refused and not limit.expired():
                 limit.reschedule(now)
--- a/packages/router/src/lacewingspar_router/components/forwarding/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/__init__.py
@@ -55,7 +55,7 @@
             server.close()
         handler.close()
 
-    async def async_cut() -> int:
+    async def async_abort_requests() -> int:
         count = callers.busy_connection_count
         callers.close()
         return count
@@ -63,7 +63,7 @@
     routing.add_listener(apply_limits)
     app.on_drain("forwarding", lambda: _async_drain(app, callers, handler))
     app.on_unload("forwarding", async_unload)
-    app.on_cut(async_cut)
+    app.on_abort(async_abort_requests)
     app.create_task(_async_drop_stale(handler), "drop stale connections")
     monitor = LoadMonitor(app, callers, handler.load_shedder, handler.hand_over)
     app.create_task(monitor.async_run(), "measure load")
--- a/packages/router/src/lacewingspar_router/components/forwarding/crash_guard.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/crash_guard.py
@@ -72,7 +72,7 @@
             RequestRefusedError: The request has crashed upstreams and is in
                 quarantine.
         """
-        state = self._exchange.known_state(call.service)
+        state = self._exchange.find_state(call.service)
         if state is None:
             return
         now = self._app.now()
@@ -85,7 +85,7 @@
         self, call: Call, request_fingerprint: str, upstream_id: str
     ) -> GuardedRun:
         """Record the start of a run."""
-        state = self._exchange.known_state(call.service)
+        state = self._exchange.find_state(call.service)
         epoch = 0 if state is None else state.epoch(upstream_id)
         run = GuardedRun(call.service, upstream_id, request_fingerprint, epoch)
         self._runs_by_upstream.setdefault(upstream_id, Counter())[run] += 1
@@ -114,7 +114,7 @@
 
     def record_success(self, run: GuardedRun) -> None:
         """Record that a request got its complete response."""
-        state = self._exchange.known_state(run.service)
+        state = self._exchange.find_state(run.service)
         if state is not None:
             state.record_success(run.fingerprint, self._app.now())
             self._exchange.publish(state)
--- a/packages/router/src/lacewingspar_router/components/peers/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/peers/__init__.py
@@ -29,5 +29,5 @@
     network.bind()
     app.register(PEERS, network)
     app.create_task(network.async_receive(), "peers receive")
-    app.create_task(network.async_beat(), "peers heartbeat")
+    app.create_task(network.async_send_heartbeats(), "peers heartbeat")
     app.on_unload("peers", network.async_unload)
--- a/packages/router/src/lacewingspar_router/components/peers/const.py
+++ b/packages/router/src/lacewingspar_router/components/peers/const.py
@@ -8,7 +8,7 @@
 # Messages that are queued per peer. Further ones are dropped, since every
 # message is repeated or has a timeout.
 SEND_QUEUE_MESSAGES = 1000
-LARGEST_MESSAGE_BYTES = 64 * 1024 * 1024
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 
 METRIC_SENT_BYTES = "peer_sent_bytes"
 METRIC_RECEIVED_BYTES = "peer_received_bytes"
--- a/packages/router/src/lacewingspar_router/components/peers/network.py
+++ b/packages/router/src/lacewingspar_router/components/peers/network.py
@@ -66,7 +66,9 @@
         self._handlers_by_type: dict[type[PeerMessage], list[Handler]] = {}
         self._listeners: list[Callable[[], None]] = []
         self._alive_by_router_id: dict[str, MemberRecord] = {}
-        self._announced: dict[str, tuple[RouterInstance, RouterState]] = {}
+        self._notified_by_router_id: dict[
+            str, tuple[RouterInstance, RouterState]
+        ] = {}
         self._envelope = msgspec.msgpack.encode(
             _Envelope(app.instance, app.settings.data_centre)
         )
@@ -96,7 +98,7 @@
     def add_seeds(self, seeds: Iterable[Seed]) -> None:
         """Add routers to contact and send heartbeats at once."""
         self._membership.add_seeds(seeds)
-        self.beat()
+        self.send_heartbeat()
 
     def set_busy_source(self, read: Callable[[], bool]) -> None:
         """Set the function that returns whether this router is busy."""
@@ -152,13 +154,13 @@
             frames = await self._receiver.recv_multipart()
             self._receive(frames)
 
-    async def async_beat(self) -> None:
+    async def async_send_heartbeats(self) -> None:
         """Send heartbeats until cancelled."""
         while True:
-            self.beat()
+            self.send_heartbeat()
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send one heartbeat and update the set of alive routers."""
         state = _STATE_BY_LIFE_CYCLE[self._app.life_cycle]
         if state is RouterState.SERVING and self._read_is_busy():
@@ -232,13 +234,13 @@
 
     def _refresh_alive(self) -> None:
         self._alive_by_router_id = self._membership.alive(self._app.now())
-        announced = {
+        current_by_router_id = {
             router_id: (record.life, record.state)
             for router_id, record in self._alive_by_router_id.items()
         }
-        if announced == self._announced:
+        if current_by_router_id == self._notified_by_router_id:
             return
-        self._announced = announced
+        self._notified_by_router_id = current_by_router_id
         for listener in self._listeners:
             listener()
 
@@ -263,7 +265,7 @@
             zmq.HEARTBEAT_TIMEOUT: _ms(const.PING_TIMEOUT_SECONDS),
             zmq.RECONNECT_IVL: _ms(const.RECONNECT_INTERVAL_SECONDS),
             zmq.RECONNECT_IVL_MAX: _ms(const.RECONNECT_MAX_INTERVAL_SECONDS),
-            zmq.MAXMSGSIZE: const.LARGEST_MESSAGE_BYTES,
+            zmq.MAXMSGSIZE: const.MAX_MESSAGE_BYTES,
         }
         for option, value in options.items():
             socket.setsockopt(option, value)
--- a/packages/router/src/lacewingspar_router/components/quarantine/models.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/models.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Subject:
+class RequestIdentity:
     """Identifies a request in the quarantine.
 
     Attributes:
@@ -47,7 +47,7 @@
         confirmation: Check whether the upstream has crashed, once started.
     """
 
-    subject: Subject
+    subject: RequestIdentity
     upstream_id: str
     epoch: int
     reservation: SuspectRun | None = None
@@ -61,18 +61,20 @@
     def add_listener(self, listener: Callable[[], None]) -> None:
         """Call a function whenever new crashes become known."""
 
-    def refused_seconds(self, subject: Subject) -> float:
+    def remaining_quarantine_seconds(self, subject: RequestIdentity) -> float:
         """Return the remaining quarantine of a request in seconds, or 0."""
 
-    def is_suspect(self, subject: Subject) -> bool:
+    def is_suspect(self, subject: RequestIdentity) -> bool:
         """Return whether a request must not run beside other suspects."""
 
-    async def async_wait_confirmed(self, subject: Subject) -> None:
+    async def async_wait_for_crash_checks(
+        self, subject: RequestIdentity
+    ) -> None:
         """Wait for the running crash checks that involve a request."""
 
-    async def async_busy_upstreams(
+    async def async_wait_for_free_upstream(
         self,
-        subject: Subject,
+        subject: RequestIdentity,
         usable: Callable[[], Collection[str]],
         deadline_at: float,
     ) -> frozenset[str]:
@@ -91,7 +93,7 @@
         """
 
     async def async_begin(
-        self, subject: Subject, upstream_id: str
+        self, subject: RequestIdentity, upstream_id: str
     ) -> UpstreamRun | None:
         """Record that a request is about to be sent to an upstream.
 
@@ -99,16 +101,16 @@
             The run, or None if a suspect must not run on this upstream now.
         """
 
-    def on_break(self, run: UpstreamRun) -> "asyncio.Task[None]":
+    def start_crash_check(self, run: UpstreamRun) -> "asyncio.Task[None]":
         """Start a check whether the upstream of a broken run has crashed."""
 
-    def end(self, run: UpstreamRun, *, is_left: bool) -> None:
+    def end(self, run: UpstreamRun, *, has_caller_left: bool) -> None:
         """Record the end of a run.
 
         Args:
             run: The run; it has succeeded if `is_complete` is set.
-            is_left: Whether the caller has disconnected, so that the upstream
-                may still be processing the request.
+            has_caller_left: Whether the caller has disconnected, so that the
+                upstream may still be processing the request.
         """
 
 
--- a/packages/router/src/lacewingspar_router/components/quarantine/registry.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/registry.py
@@ -8,11 +8,11 @@
 from lacewingspar_core.messages import SuspectRun
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.quarantine.const import (
-    LEFT_RUN_SECONDS,
+    ABANDONED_RUN_SECONDS,
     METRIC_CRASHES,
 )
 from lacewingspar_router.components.quarantine.models import (
-    Subject,
+    RequestIdentity,
     UpstreamRun,
 )
 from lacewingspar_router.components.quarantine.suspects import SuspectRunGate
@@ -51,22 +51,24 @@
         """Call a function whenever new crashes become known."""
         self._listeners.append(listener)
 
-    def refused_seconds(self, subject: Subject) -> float:
+    def remaining_quarantine_seconds(self, subject: RequestIdentity) -> float:
         """Return the remaining quarantine of a request in seconds, or 0."""
-        state = self._exchange.known_state(subject.service)
+        state = self._exchange.find_state(subject.service)
         if state is None:
             return 0.0
         now = self._app.now()
         return max(0.0, state.refused_until(subject.fingerprint, now) - now)
 
-    def is_suspect(self, subject: Subject) -> bool:
+    def is_suspect(self, subject: RequestIdentity) -> bool:
         """Return whether a request must not run beside other suspects."""
-        state = self._exchange.known_state(subject.service)
+        state = self._exchange.find_state(subject.service)
         if state is None:
             return False
         return state.must_run_alone(subject.fingerprint, self._app.now())
 
-    async def async_wait_confirmed(self, subject: Subject) -> None:
+    async def async_wait_for_crash_checks(
+        self, subject: RequestIdentity
+    ) -> None:
         """Wait for the running crash checks that involve a request."""
         checks = [
             check
@@ -76,9 +78,9 @@
         if checks:
             await asyncio.wait(checks)
 
-    async def async_busy_upstreams(
+    async def async_wait_for_free_upstream(
         self,
-        subject: Subject,
+        subject: RequestIdentity,
         usable: Callable[[], Collection[str]],
         deadline_at: float,
     ) -> frozenset[str]:
@@ -95,7 +97,7 @@
         )
 
     async def async_begin(
-        self, subject: Subject, upstream_id: str
+        self, subject: RequestIdentity, upstream_id: str
     ) -> UpstreamRun | None:
         """Record that a request is about to be sent to an upstream.
 
@@ -107,14 +109,14 @@
             reservation = SuspectRun(upstream_id, subject.fingerprint)
             if not await self._gate.async_reserve(subject.service, reservation):
                 return None
-        state = self._exchange.known_state(subject.service)
+        state = self._exchange.find_state(subject.service)
         epoch = state.epoch(upstream_id) if state else 0
         run = UpstreamRun(subject, upstream_id, epoch, reservation)
         key = (subject.service, upstream_id)
         self._runs_by_upstream.setdefault(key, set()).add(run)
         return run
 
-    def on_break(self, run: UpstreamRun) -> "asyncio.Task[None]":
+    def start_crash_check(self, run: UpstreamRun) -> "asyncio.Task[None]":
         """Start a check whether the upstream of a broken run has crashed.
 
         A crash breaks all runs of an upstream, so they share the check that
@@ -135,13 +137,13 @@
         )
         return check
 
-    def end(self, run: UpstreamRun, *, is_left: bool) -> None:
+    def end(self, run: UpstreamRun, *, has_caller_left: bool) -> None:
         """Record the end of a run."""
         if run.is_complete:
             self._record_success(run.subject)
-        if is_left and not run.is_complete:
+        if has_caller_left and not run.is_complete:
             asyncio.get_running_loop().call_later(
-                LEFT_RUN_SECONDS, self._end_abandoned, run
+                ABANDONED_RUN_SECONDS, self._end_abandoned, run
             )
         else:
             self._discard(run)
@@ -151,7 +153,7 @@
         key = (run.subject.service, run.upstream_id)
         status = self._upstreams.status_by_upstream.get(key)
         if status is not None and status.state == _STATE_FAILING:
-            self.on_break(run)
+            self.start_crash_check(run)
         self._discard(run)
 
     def _discard(self, run: UpstreamRun) -> None:
@@ -165,8 +167,8 @@
             self._gate.release(run.subject.service, run.reservation)
             run.reservation = None
 
-    def _record_success(self, subject: Subject) -> None:
-        state = self._exchange.known_state(subject.service)
+    def _record_success(self, subject: RequestIdentity) -> None:
+        state = self._exchange.find_state(subject.service)
         if state is not None:
             state.record_success(subject.fingerprint, self._app.now())
             self._exchange.publish(state)
@@ -214,5 +216,5 @@
             listener()
 
 
-def _is_same_request(one: Subject, other: Subject) -> bool:
+def _is_same_request(one: RequestIdentity, other: RequestIdentity) -> bool:
     return one.service == other.service and one.fingerprint == other.fingerprint
--- a/packages/router/src/lacewingspar_router/components/quarantine/suspects.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/suspects.py
@@ -11,7 +11,9 @@
 )
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.peers.models import PEERS, ReceivedMessage
-from lacewingspar_router.components.quarantine.const import RECHECK_SECONDS
+from lacewingspar_router.components.quarantine.const import (
+    RECHECK_INTERVAL_SECONDS,
+)
 from lacewingspar_router.components.quarantine.errors import (
     NoUpstreamForSuspectError,
 )
@@ -122,7 +124,9 @@
 
     async def _async_wait_change(self, limit_seconds: float) -> None:
         try:
-            async with asyncio.timeout(min(RECHECK_SECONDS, limit_seconds)):
+            async with asyncio.timeout(
+                min(RECHECK_INTERVAL_SECONDS, limit_seconds)
+            ):
                 await self._changed.wait()
         except TimeoutError:
             return
--- a/packages/router/src/lacewingspar_router/components/telemetry/line_writer.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/line_writer.py
@@ -14,7 +14,7 @@
 # few and help to explain all requests of the same period.
 RESERVED_LINES = 100.0
 # Maximum size of a partly written line that is kept for the next write.
-LARGEST_REST_BYTES = 64 * 1024
+MAX_UNWRITTEN_BYTES = 64 * 1024
 
 
 class LineWriter:
@@ -44,7 +44,7 @@
         self._unwritten = b""
         self.dropped = 0
 
-    def takes_lines(self, *, is_about_request: bool) -> bool:
+    def has_capacity(self, *, is_about_request: bool) -> bool:
         """Return whether the rate limit allows a line now.
 
         Args:
@@ -69,7 +69,7 @@
             self.dropped += 1
             return
         self.dropped = 0
-        self._unwritten = line[written:][:LARGEST_REST_BYTES]
+        self._unwritten = line[written:][:MAX_UNWRITTEN_BYTES]
 
     def flush(self) -> None:
         """Write the rest of a partly written line, as far as possible."""
--- a/packages/router/src/lacewingspar_router/components/telemetry/log_lines.py
+++ b/packages/router/src/lacewingspar_router/components/telemetry/log_lines.py
@@ -43,7 +43,7 @@
         _logger: object, _method: str, event: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
         # Avoids rendering a line that would be dropped.
-        if line_writer is not None and not line_writer.takes_lines(
+        if line_writer is not None and not line_writer.has_capacity(
             is_about_request="request_id" in event
         ):
             line_writer.dropped += 1
--- a/packages/router/src/lacewingspar_router/components/vm_list/const.py
+++ b/packages/router/src/lacewingspar_router/components/vm_list/const.py
@@ -8,4 +8,4 @@
 # stops sending new work to a leaving upstream.
 POLL_TIMEOUT_SECONDS = 1.0
 # About 520 VMs are replaced per day, so this covers a week.
-MAXIMUM_DEPARTED_VMS = 4096
+MAX_DEPARTED_VMS = 4096
--- a/packages/router/src/lacewingspar_router/components/vm_list/poller.py
+++ b/packages/router/src/lacewingspar_router/components/vm_list/poller.py
@@ -9,7 +9,7 @@
 
 from lacewingspar_core.platform import VmList, VmState
 from lacewingspar_router.components.vm_list.const import (
-    MAXIMUM_DEPARTED_VMS,
+    MAX_DEPARTED_VMS,
     POLL_INTERVAL_SECONDS,
 )
 from lacewingspar_router.components.vm_list.errors import VmListReadError
@@ -99,7 +99,7 @@
             self._departed_vms.pop(name, None)
         for name in sorted(self._leaving_vms - listed):
             self._departed_vms.setdefault(name)
-        while len(self._departed_vms) > MAXIMUM_DEPARTED_VMS:
+        while len(self._departed_vms) > MAX_DEPARTED_VMS:
             del self._departed_vms[next(iter(self._departed_vms))]
         leaving_vms = leaving.union(self._departed_vms)
         if leaving_vms == self._leaving_vms:
--- a/packages/router/src/lacewingspar_router/crash_exchange.py
+++ b/packages/router/src/lacewingspar_router/crash_exchange.py
@@ -26,7 +26,7 @@
         # Services without a known crash have no entry, so that their requests
         # skip the checks.
         self._state_by_service: dict[str, QuarantineState] = {}
-        self._known_lives: set[RouterInstance] = set()
+        self._known_instances: set[RouterInstance] = set()
         self._listeners: list[Callable[[], None]] = []
         self._peers.subscribe(Quarantine, self._receive)
         self._peers.add_listener(self._send_to_new_routers)
@@ -35,7 +35,7 @@
         """Call a function after merging records of another router."""
         self._listeners.append(listener)
 
-    def known_state(self, service: str) -> QuarantineState | None:
+    def find_state(self, service: str) -> QuarantineState | None:
         """Return the records of a service, or None before its first crash."""
         return self._state_by_service.get(service)
 
@@ -65,11 +65,11 @@
 
     def _send_to_new_routers(self) -> None:
         """Send all records to routers that have become alive."""
-        lives = {
+        instances = {
             record.life for record in self._peers.alive_by_router_id.values()
         }
-        new = lives - self._known_lives - {self._app.instance}
-        self._known_lives = lives
+        new = instances - self._known_instances - {self._app.instance}
+        self._known_instances = instances
         for state in self._state_by_service.values() if new else ():
             message = state.publish(self._app.now(), full=True)
             if message is None or not message.crashes:
--- a/packages/router/src/lacewingspar_router/http_server.py
+++ b/packages/router/src/lacewingspar_router/http_server.py
@@ -15,9 +15,9 @@
 LISTEN_BACKLOG = 2048
 # Delay between closing the listener and closing idle connections. A caller
 # whose connection was just accepted may still be sending its request.
-LINGER_SECONDS = 0.3
+IDLE_CLOSE_DELAY_SECONDS = 0.3
 # Time within which responses can still be sent after an abort.
-ABORT_SECONDS = 0.5
+ABORT_TIMEOUT_SECONDS = 0.5
 
 # uvicorn logs a response body that was aborted on purpose as an error of the
 # application. The caller API logs these cases itself.
@@ -109,9 +109,9 @@
         if not abort:
             if self._server.listener is not None:
                 self._server.listener.close()
-            await asyncio.sleep(LINGER_SECONDS)
+            await asyncio.sleep(IDLE_CLOSE_DELAY_SECONDS)
         self._server.force_exit = abort
         self._server.should_exit = True
-        limit = ABORT_SECONDS if abort else None
+        limit = ABORT_TIMEOUT_SECONDS if abort else None
         await asyncio.wait({self._task}, timeout=limit)
         self._task.cancel()
--- a/packages/router/src/lacewingspar_router/main.py
+++ b/packages/router/src/lacewingspar_router/main.py
@@ -215,7 +215,7 @@
         reason = f"drain failed: {drain.exception()}"
     drain.cancel()
     await asyncio.gather(drain, return_exceptions=True)
-    count = await application.async_cut()
+    count = await application.async_abort_requests()
     _LOGGER.error("drain ended early", reason=reason, cut_requests=count)
     return False
 
--- a/tests/router/components/test_peers.py
+++ b/tests/router/components/test_peers.py
@@ -64,5 +64,5 @@
     membership.merge(Heartbeat((other,)), 0.0)
     for now in (0.0, REMOVED_AT):
         app.now.return_value = now
-        network.beat()
+        network.send_heartbeat()
     assert sockets == [2, 1]
--- a/tests/router/components/test_quarantine.py
+++ b/tests/router/components/test_quarantine.py
@@ -35,8 +35,8 @@
         return upstream_id not in self.unreachable
 
 
-def subject(name: str) -> models.Subject:
-    return models.Subject("s", "/p", name.encode())
+def subject(name: str) -> models.RequestIdentity:
+    return models.RequestIdentity("s", "/p", name.encode())
 
 
 @pytest.fixture
@@ -61,9 +61,9 @@
         await router.crashes.async_begin(subject(name), upstream_id)
         for name in names
     ]
-    await router.crashes.on_break(runs[0])
+    await router.crashes.start_crash_check(runs[0])
     for run in runs:
-        router.crashes.end(run, is_left=False)
+        router.crashes.end(run, has_caller_left=False)
 
 
 async def test_quarantine_reaches_all_routers(start, until) -> None:
@@ -74,13 +74,19 @@
     assert not second.crashes.is_suspect(subject("other"))
     run = await second.crashes.async_begin(subject("a"), "u2")
     run.is_complete = True
-    second.crashes.end(run, is_left=False)
+    second.crashes.end(run, has_caller_left=False)
     await until(lambda: not first.crashes.is_suspect(subject("a")))
     await crash(second, "u2", "x", "b")
-    await until(lambda: first.crashes.refused_seconds(subject("x")))
+    await until(
+        lambda: first.crashes.remaining_quarantine_seconds(subject("x"))
+    )
     for router in (first, second):
-        assert 590 < router.crashes.refused_seconds(subject("x")) <= 600
-        assert not router.crashes.refused_seconds(subject("a"))
+        assert (
+            590
+            < router.crashes.remaining_quarantine_seconds(subject("x"))
+            <= 600
+        )
+        assert not router.crashes.remaining_quarantine_seconds(subject("a"))
 
 
 async def test_breaks_without_a_crash_make_no_suspects(start) -> None:
@@ -120,7 +126,7 @@
         second.crashes.async_begin(subject("a"), "u2"),
     )
     assert [run is not None for run in begun] == [True, False]
-    wait = second.crashes.async_busy_upstreams
+    wait = second.crashes.async_wait_for_free_upstream
     assert await wait(subject("a"), lambda: {"u2", "u3"}, NO_DEADLINE) == {"u2"}
     with pytest.raises(NoUpstreamForSuspectError):
         await wait(subject("a"), lambda: {"u2"}, 0.0)
@@ -128,7 +134,7 @@
         wait(subject("a"), lambda: {"u2"}, NO_DEADLINE)
     )
     await asyncio.sleep(0)
-    first.crashes.end(begun[0], is_left=False)
+    first.crashes.end(begun[0], has_caller_left=False)
     assert await waiting == frozenset()
 
 
@@ -136,10 +142,10 @@
     start, until, monkeypatch
 ) -> None:
     """Guards against a crash that is missed because its caller left."""
-    monkeypatch.setattr(registry, "LEFT_RUN_SECONDS", 0.01)
+    monkeypatch.setattr(registry, "ABANDONED_RUN_SECONDS", 0.01)
     router = await start("r1")
     run = await router.crashes.async_begin(subject("x"), "u1")
-    router.crashes.end(run, is_left=True)
+    router.crashes.end(run, has_caller_left=True)
     status = SimpleNamespace(state="failing")
     router.pool.status_by_upstream["s", "u1"] = status
     await until(lambda: router.crashes.is_suspect(subject("x")))
--- a/tests/router/components/test_vm_list.py
+++ b/tests/router/components/test_vm_list.py
@@ -98,7 +98,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against unbounded memory while VMs are replaced."""
-    monkeypatch.setattr(poller_module, "MAXIMUM_DEPARTED_VMS", 2)
+    monkeypatch.setattr(poller_module, "MAX_DEPARTED_VMS", 2)
     leaving, _ = await _read(*[_list(f"v{n}=leaving") for n in range(4)])
     assert leaving == {"v1", "v2", "v3"}
 
--- a/tests/router/deployed/test_reader_role.py
+++ b/tests/router/deployed/test_reader_role.py
@@ -100,7 +100,7 @@
     lost = readers(fleet.apps)
     assert len(lost) == const.READERS_PER_DATA_CENTRE
     for app in lost:
-        await app.async_cut()
+        await app.async_abort_requests()
         await app.async_stop()
     fleet.publish(manifest(8))
     left = [app for app in fleet.apps if app not in lost]
--- a/tests/router/test_http_server.py
+++ b/tests/router/test_http_server.py
@@ -30,7 +30,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a shutdown that resets a connection before reading it."""
-    monkeypatch.setattr(http_server, "LINGER_SECONDS", 2.0, raising=False)
+    monkeypatch.setattr(
+        http_server, "IDLE_CLOSE_DELAY_SECONDS", 2.0, raising=False
+    )
     server = HttpServer(respond, "127.0.0.1:0")
     await server.async_start()
     used, used_writer = await asyncio.open_connection("127.0.0.1", server.port)
--- a/tests/router/test_line_writer.py
+++ b/tests/router/test_line_writer.py
@@ -83,8 +83,8 @@
     now = 0.0
     writer = LineWriter(pipe[1], "r1", lambda: now)
     for _ in range(int(lines)):
-        assert writer.takes_lines(is_about_request=is_about_request)
+        assert writer.has_capacity(is_about_request=is_about_request)
         writer.write("x")
-    assert not writer.takes_lines(is_about_request=is_about_request)
+    assert not writer.has_capacity(is_about_request=is_about_request)
     now += 2 / LINES_PER_SECOND
-    assert writer.takes_lines(is_about_request=is_about_request)
+    assert writer.has_capacity(is_about_request=is_about_request)
