--- a/packages/standins/src/lacewingspar_standins/bench/load_processes.py
+++ b/packages/standins/src/lacewingspar_standins/bench/load_processes.py
@@ -33,7 +33,7 @@
             FleetError: The load generator failed.
         """
         if await self.process.wait() != 0:
-            raise FleetError(f"{self.name}: {self.process.end_of_log()}")
+            raise FleetError(f"{self.name}: {self.process.log_tail()}")
         data = await asyncio.to_thread(self.output.read_bytes)
         return msgspec.json.decode(data, type=LoadResult)
 
--- a/packages/standins/src/lacewingspar_standins/bench/path_client.py
+++ b/packages/standins/src/lacewingspar_standins/bench/path_client.py
@@ -76,7 +76,7 @@
 
     async def whole(self, tokens: int) -> None:
         """Send a request that is answered whole."""
-        connection = await self._pool.take(self._address)
+        connection = await self._pool.acquire(self._address)
         try:
             started_ns = time.monotonic_ns()
             await self._send(connection, tokens, stream=False)
@@ -89,7 +89,7 @@
             self.times.whole.append(way_ns / 1e6)
             self.answers += 1
         finally:
-            self._pool.give_back(self._address, connection)
+            self._pool.release(self._address, connection)
 
     async def stream(self, tokens: int) -> None:
         """Send a request that is answered as an event stream."""
@@ -102,7 +102,7 @@
         Raises:
             PathError: The stream is not complete.
         """
-        connection = await self._pool.take(self._address)
+        connection = await self._pool.acquire(self._address)
         try:
             started_ns = time.monotonic_ns()
             await self._send(connection, tokens, stream=True)
@@ -126,7 +126,7 @@
                 raise PathError(f"{count} events for {tokens} tokens")
             self.answers += 1
         finally:
-            self._pool.give_back(self._address, connection)
+            self._pool.release(self._address, connection)
 
     async def _send(
         self, connection: Connection, tokens: int, *, stream: bool
--- a/packages/standins/src/lacewingspar_standins/bench/soak.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak.py
@@ -196,7 +196,7 @@
     store = soak.fleet.store
     if fault == _DROPPED_HISTORY:
         for topic in store.topic_by_name.values():
-            topic.drop_history()
+            topic.compact()
         return
     with _in_force(store.faults, fault):
         store.faults_changed()
--- a/packages/standins/src/lacewingspar_standins/bench/soak_fleet.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_fleet.py
@@ -150,7 +150,7 @@
                     self.beat(name)
             topic = self.store.topic("keyed.servers")
             if len(topic.records) > HISTORY_RECORDS:
-                topic.drop_history()
+                topic.compact()
 
     def beat(self, upstream_id: str) -> None:
         """Write the entry of an upstream."""
--- a/packages/standins/src/lacewingspar_standins/deployed/store.py
+++ b/packages/standins/src/lacewingspar_standins/deployed/store.py
@@ -69,7 +69,7 @@
         self.wake()
         return offset
 
-    def drop_history(self) -> None:
+    def compact(self) -> None:
         """Remove all records except the newest of each key."""
         self.first = self.end
         self.records = []
--- a/packages/standins/src/lacewingspar_standins/deployed/upstream.py
+++ b/packages/standins/src/lacewingspar_standins/deployed/upstream.py
@@ -134,16 +134,19 @@
     Args:
         upstream_id: Id of the upstream.
         events: Number of events of a stream.
-        pause_seconds: Delay before a response starts and after each
+        response_delay_seconds: Delay before a response starts and after each
             event of a stream.
     """
 
     def __init__(
-        self, upstream_id: str, events: int = 5, pause_seconds: float = 0.002
+        self,
+        upstream_id: str,
+        events: int = 5,
+        response_delay_seconds: float = 0.002,
     ) -> None:
         self.upstream_id = upstream_id
         self.events = events
-        self.pause_seconds = pause_seconds
+        self.response_delay_seconds = response_delay_seconds
         self.faults = UpstreamFaults()
         self.received: list[ReceivedRequest] = []
         self.runs: Counter[str] = Counter()
@@ -242,7 +245,7 @@
         self._upstream.runs[request.value_by_header["x-attempt-id"]] += 1
         self._upstream.running += 1
         try:
-            await asyncio.sleep(self._upstream.pause_seconds)
+            await asyncio.sleep(self._upstream.response_delay_seconds)
             marker = faults.crash_marker.encode()
             if marker and marker in request.body:
                 self._upstream.crash()
@@ -319,7 +322,7 @@
                 self.reset()
                 return
             self._write_chunk(data)
-            await asyncio.sleep(self._upstream.pause_seconds)
+            await asyncio.sleep(self._upstream.response_delay_seconds)
         self._transport.write(b"0\r\n\r\n")
 
     def reset(self) -> None:
--- a/packages/standins/src/lacewingspar_standins/http_client.py
+++ b/packages/standins/src/lacewingspar_standins/http_client.py
@@ -137,7 +137,7 @@
     def __init__(self) -> None:
         self._idle_by_address: dict[str, list[Connection]] = {}
 
-    async def take(self, address: str) -> Connection:
+    async def acquire(self, address: str) -> Connection:
         """Return an idle or new connection.
 
         Raises:
@@ -159,7 +159,7 @@
             raise ClientError("connect_failed", str(error)) from error
         return opened
 
-    def give_back(self, address: str, connection: Connection) -> None:
+    def release(self, address: str, connection: Connection) -> None:
         """Return a connection to the pool, or close it if not reusable."""
         if connection.is_reusable:
             self._idle_by_address[address].append(connection)
--- a/packages/standins/src/lacewingspar_standins/load_exchange.py
+++ b/packages/standins/src/lacewingspar_standins/load_exchange.py
@@ -62,7 +62,7 @@
         Raises:
             ClientError: No complete and correct response arrived.
         """
-        connection = await pool.take(self.address)
+        connection = await pool.acquire(self.address)
         try:
             await connection.exchange(self._encode())
             if connection.status != 200:
@@ -74,7 +74,7 @@
                 await self._receive_whole(connection, request_id)
             return request_id
         finally:
-            pool.give_back(self.address, connection)
+            pool.release(self.address, connection)
 
     def _encode(self) -> bytes:
         headers = {
--- a/packages/standins/src/lacewingspar_standins/process.py
+++ b/packages/standins/src/lacewingspar_standins/process.py
@@ -74,7 +74,7 @@
             self.kill()
             await self.wait()
 
-    def end_of_log(self) -> str:
+    def log_tail(self) -> str:
         """Return the last bytes of the log file, for error messages."""
         data = self.log_file.read_bytes()[-LOG_TAIL_BYTES:]
         return data.decode(errors="replace")
@@ -118,7 +118,7 @@
             line = b""
         if not line:
             raise FleetError(
-                f"{self.name} did not announce an address: {self.end_of_log()}"
+                f"{self.name} did not announce an address: {self.log_tail()}"
             )
         addresses = msgspec.json.decode(line, type=dict[str, str])
         self.address_by_name = addresses
@@ -193,7 +193,7 @@
             pass
         state = "did not respond" if self.is_running else "ended"
         raise FleetError(
-            f"{self.name} {state}, polling {url}: {self.end_of_log()}"
+            f"{self.name} {state}, polling {url}: {self.log_tail()}"
         )
 
 
--- a/tests/router/deployed/test_forwarding.py
+++ b/tests/router/deployed/test_forwarding.py
@@ -200,7 +200,7 @@
     """
     caller = await served.add_router()
     first, second = upstreams(served, "e")
-    first.pause_seconds = second.pause_seconds = 0.2
+    first.response_delay_seconds = second.response_delay_seconds = 0.2
     first.faults.break_after_events = second.faults.break_after_events = 2
     with structlog.testing.capture_logs() as lines:
         await caller.call("/stream/1")
@@ -238,7 +238,7 @@
     """Guards against upstreams that run requests of disconnected callers."""
     caller = await served.add_router()
     for upstream in served.upstream_by_id.values():
-        upstream.pause_seconds = 5.0
+        upstream.response_delay_seconds = 5.0
     call = asyncio.create_task(caller.call(path))
     running = served.upstream_by_id.values()
     await until(lambda: any(item.running for item in running))
@@ -354,7 +354,7 @@
     process stalls.
     """
     deployment.publish(manifest())
-    await deployment.add_upstream("p1", "plain", pause_seconds=0.25)
+    await deployment.add_upstream("p1", "plain", response_delay_seconds=0.25)
     caller = await deployment.add_router()
     begin = asyncio.get_running_loop().time()
 
@@ -388,7 +388,9 @@
         route("/other/", "non_idempotent", "plain"),
     ]
     deployment.publish(manifest(routes=routes))
-    plain = await deployment.add_upstream("p1", "plain", pause_seconds=0.25)
+    plain = await deployment.add_upstream(
+        "p1", "plain", response_delay_seconds=0.25
+    )
     caller = await deployment.add_router()
     answers = await asyncio.gather(
         *(caller.call("/write/", budget_ms=2500) for _ in range(60))
--- a/tests/router/deployed/test_hand_over.py
+++ b/tests/router/deployed/test_hand_over.py
@@ -96,7 +96,7 @@
 ) -> None:
     engines = [served.upstream_by_id[name] for name in ("e1", "e2")]
     for engine in engines:
-        engine.pause_seconds = 0.5
+        engine.response_delay_seconds = 0.5
     connection = await async_open_connection(overloaded_caller.address)
     connection.send(request_bytes("/stream/x", "a-leaves", 3000))
     await until(lambda: any(engine.running for engine in engines))
@@ -116,7 +116,7 @@
     served: Deployment, overloaded_caller: Caller
 ) -> None:
     for name in ("e1", "e2"):
-        served.upstream_by_id[name].pause_seconds = 0.2
+        served.upstream_by_id[name].response_delay_seconds = 0.2
     call = asyncio.create_task(overloaded_caller.call("/stream-once/x"))
     engines = [served.upstream_by_id[name] for name in ("e1", "e2")]
     await until(lambda: any(engine.running for engine in engines))
--- a/tests/router/deployed/test_reader_role.py
+++ b/tests/router/deployed/test_reader_role.py
@@ -201,7 +201,7 @@
     await asyncio.sleep(2 * const.READER_CONFIRMATION_TIMEOUT_SECONDS)
     topic = fleet.store.topic("keyed.servers")
     topic.append("p1", b"")
-    topic.drop_history()
+    topic.compact()
     await until(
         lambda: all(
             "p1" not in routing_state_of(app).directory.entry_by_id
--- a/tests/router/deployed/test_shared_state.py
+++ b/tests/router/deployed/test_shared_state.py
@@ -108,11 +108,11 @@
     caller = await served.add_router()
     served.publish(manifest(3))
     for topic in served.store.topic_by_name.values():
-        topic.drop_history()
+        topic.compact()
     await until(lambda: version_of(served) == 3)
     topic = served.store.topic("keyed.servers")
     topic.append("p1", b"")
-    topic.drop_history()
+    topic.compact()
     directory = served.apps[0].get(ROUTING).directory
     await until(lambda: "p1" not in directory.entry_by_id)
     assert (await caller.call("/read/", "GET")).status == 200
@@ -160,7 +160,9 @@
     # On a busy test machine the slot owner may answer later than in production.
     monkeypatch.setattr(const, "OWNER_RESPONSE_TIMEOUT_SECONDS", 30.0)
     deployment.publish(manifest())
-    upstream = await deployment.add_upstream("p1", "plain", pause_seconds=0.2)
+    upstream = await deployment.add_upstream(
+        "p1", "plain", response_delay_seconds=0.2
+    )
     callers = [await deployment.add_router(name) for name in ("r1", "r2")]
     await until(
         lambda: all(
--- a/tests/router/deployed/test_stopping.py
+++ b/tests/router/deployed/test_stopping.py
@@ -45,7 +45,7 @@
 
 async def test_stream_under_way_is_finished(served: Deployment) -> None:
     for upstream in served.upstream_by_id.values():
-        upstream.pause_seconds = 0.15
+        upstream.response_delay_seconds = 0.15
     caller = await served.add_router(stop_grace_seconds=1.0)
     call = asyncio.create_task(caller.call("/stream/1"))
     await asyncio.sleep(0.2)
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -36,7 +36,7 @@
 async def open_stream(engine: Any, max_tokens: int) -> Connection:
     value = {**BODY, "stream": True, "max_tokens": max_tokens}
     body = msgspec.json.encode(value)
-    connection = await ConnectionPool().take(engine.address)
+    connection = await ConnectionPool().acquire(engine.address)
     request = encode_request("POST", PATH, engine.address, HEADERS, body)
     await connection.exchange(request)
     return connection
--- a/tests/standins/test_http_client.py
+++ b/tests/standins/test_http_client.py
@@ -47,12 +47,12 @@
 async def exchange(pool: ConnectionPool, address: str) -> bytes | str:
     """Return the response body, or the outcome if the exchange fails."""
     try:
-        connection = await pool.take(address)
+        connection = await pool.acquire(address)
         await connection.exchange(encode_request("GET", "/", address, {}, b""))
         body = b"".join([part async for part in connection.parts()])
     except ClientError as error:
         return error.outcome
-    pool.give_back(address, connection)
+    pool.release(address, connection)
     return body
 
 
