--- a/packages/router/src/lacewingspar_router/components/caller_api/calls.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/calls.py
@@ -1,17 +1,17 @@
-"""Path of a checked request from the queue to the end of its answer."""
+"""Processing of a validated request from the queue to its response."""
 
 import asyncio
 from dataclasses import dataclass
 
 from lacewingspar_core.messages import SlotOutcome
 from lacewingspar_router.application import Application
-from lacewingspar_router.components.caller_api.claimed import (
+from lacewingspar_router.components.caller_api.call_claims import (
     CallClaims,
     async_replay,
 )
 from lacewingspar_router.components.caller_api.exchange import Exchange
 from lacewingspar_router.components.caller_api.in_flight import (
-    InFlight,
+    InFlightRequests,
     RequestTrack,
 )
 from lacewingspar_router.components.caller_api.refusals import (
@@ -23,9 +23,9 @@
     Attempts,
     Retries,
 )
+from lacewingspar_router.components.caller_api.slot_acquirer import SlotAcquirer
 from lacewingspar_router.components.caller_api.slot_use import SlotUse
-from lacewingspar_router.components.caller_api.slot_wait import SlotWait
-from lacewingspar_router.components.caller_api.streaming import AnswerTransfer
+from lacewingspar_router.components.caller_api.streaming import ResponseTransfer
 from lacewingspar_router.components.claims.models import (
     ClaimAnswered,
     ClaimGranted,
@@ -41,25 +41,25 @@
 )
 from lacewingspar_router.components.upstreams.models import (
     UPSTREAMS,
-    UpstreamAnswer,
     UpstreamCall,
+    UpstreamResponse,
 )
 from lacewingspar_router.errors import RequestRefusedError, RunState
 
-# Refusals of a call whose claim ran out while it waited for a slot.
+# Codes of refusals if a claim expires while the request waits for a slot.
 _CODES_OF_EXPIRED_CLAIMS = frozenset({"deadline_passed", "claim_expired"})
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request on its way.
+    """A request in flight.
 
     Attributes:
         request: The request.
         subject: Identity of the request for the quarantine.
-        exchange: Exchange with the caller.
-        track: Path of the request.
-        claim: Claim of its key, if it has one.
+        exchange: HTTP exchange with the caller.
+        track: Progress of the request through this router.
+        claim: Claim of the idempotency key, if the request has a key.
     """
 
     request: CallerRequest
@@ -70,18 +70,20 @@
 
 
 class CallRunner:
-    """Runs checked requests.
+    """Runs validated requests.
 
     Args:
         application: The application that holds the other components.
         in_flight: Requests in flight.
     """
 
-    def __init__(self, application: Application, in_flight: InFlight) -> None:
+    def __init__(
+        self, application: Application, in_flight: InFlightRequests
+    ) -> None:
         self._now = application.now
         self._claims = CallClaims(application)
         self._quarantine = application.get(QUARANTINE)
-        self._slots = SlotWait(application)
+        self._slots = SlotAcquirer(application)
         self._upstreams = application.get(UPSTREAMS)
         self._telemetry = application.get(TELEMETRY)
         self._in_flight = in_flight
@@ -90,13 +92,13 @@
     async def async_run(
         self, request: CallerRequest, exchange: Exchange, track: RequestTrack
     ) -> str:
-        """Queue and send a request and answer the caller.
+        """Queue a request, send it to an upstream and respond to the caller.
 
         Returns:
-            How the request ended, for its path.
+            Outcome of the request.
 
         Raises:
-            RequestRefusedError: The request gets a refusal.
+            RequestRefusedError: The request is refused.
         """
         subject = RequestIdentity(
             request.document.service, request.target, request.body
@@ -105,7 +107,7 @@
         attempts = self.retries.begin(request)
         while True:
             if request.idempotency_key is not None:
-                self._in_flight.apply(track, "claim")
+                self._in_flight.apply_event(track, "claim")
             claim = await self._claims.async_claim(request)
             if isinstance(claim, ClaimAnswered):
                 track.run = RunState.RAN
@@ -115,34 +117,35 @@
             try:
                 return await self._async_attempts(call, attempts)
             except RequestRefusedError as error:
-                await self._async_give_up(call, error)
+                await self._async_release_unused_claim(call, error)
                 if not self._may_claim_again(call, error):
                     raise
             except asyncio.CancelledError:
                 if claim is not None and track.run is RunState.NOT_RUN:
-                    self._in_flight.apply(track, "release_claim")
+                    self._in_flight.apply_event(track, "release_claim")
                     self._claims.release(claim, was_sent=track.outlives_caller)
                     track.run = RunState.UNKNOWN
                 raise
 
-    async def _async_give_up(
+    async def _async_release_unused_claim(
         self, call: Call, error: RequestRefusedError
     ) -> None:
-        """Give up the claim of a refused call and set the run state."""
+        """Set the run state of a refusal and release the unused claim."""
         track = call.track
-        # An earlier attempt may have run although the last one did not.
+        # An earlier attempt may have run even if the last one did not.
         if track.run is not RunState.NOT_RUN:
             error.run = track.run
         elif call.claim is not None:
-            self._in_flight.apply(track, "release_claim")
-            await self._claims.async_give_up(
+            self._in_flight.apply_event(track, "release_claim")
+            await self._claims.async_release_refused(
                 call.claim, error, was_sent=track.outlives_caller
             )
 
     def _may_claim_again(self, call: Call, error: RequestRefusedError) -> bool:
-        """Return whether only the claim has run out, not the deadline.
+        """Return whether a call whose claim expired may claim its key again.
 
-        The release has been read back, so the key is free.
+        The run state is `NOT_RUN` only after the release was confirmed, so the
+        key is free.
         """
         now = self._now()
         return (
@@ -154,7 +157,7 @@
         )
 
     async def _async_attempts(self, call: Call, attempts: Attempts) -> str:
-        """Send a request until an attempt succeeds or no more are allowed."""
+        """Send a request until an attempt succeeds or retries are exhausted."""
         request = call.request
         while True:
             use = await self._async_acquire(call, attempts)
@@ -174,7 +177,9 @@
                 confirmation = self._confirm_crash(use, error)
                 self._end_run(use)
                 attempts.failed_upstreams.add(use.upstream_id)
-                self._in_flight.hop(call.track, "failed", use.upstream_id)
+                self._in_flight.record_hop(
+                    call.track, "failed", use.upstream_id
+                )
                 if call.exchange.is_started:
                     await call.exchange.async_interrupt(str(error))
                     return "interrupted"
@@ -186,27 +191,29 @@
                 self._end_run(use)
 
     async def _async_acquire(self, call: Call, attempts: Attempts) -> SlotUse:
-        """Wait for a slot of an upstream that has not failed."""
+        """Wait for a slot of an upstream on which no attempt has failed."""
         request = call.request
         deadline_at = request.deadline_at
         if call.claim is not None:
-            # After that time the slot could not be used.
+            # The call must not be sent after its claim expires.
             deadline_at = min(deadline_at, call.claim.send_before)
         is_retry = bool(attempts.failed_upstreams)
-        self._in_flight.apply(call.track, "retry" if is_retry else "enqueue")
-        self._in_flight.hop(call.track, "queue")
+        self._in_flight.apply_event(
+            call.track, "retry" if is_retry else "enqueue"
+        )
+        self._in_flight.record_hop(call.track, "queue")
         with self._telemetry.span("queue", trace_parent=request.trace_parent):
             use = await self._slots.async_acquire(
                 request, call.subject, attempts, deadline_at
             )
-        self._in_flight.apply(call.track, "bind")
-        self._in_flight.hop(call.track, "slot", use.upstream_id)
+        self._in_flight.apply_event(call.track, "bind")
+        self._in_flight.record_hop(call.track, "slot", use.upstream_id)
         return use
 
     def _confirm_crash(
         self, use: SlotUse, error: UpstreamError
     ) -> asyncio.Task[None] | None:
-        """Begin to check whether an upstream has crashed, if it may have."""
+        """Start to check whether an upstream crashed, if its response broke."""
         if use.run is None or not isinstance(error, UpstreamBrokenError):
             return None
         return self._quarantine.start_crash_check(use.run)
@@ -217,20 +224,20 @@
             self._quarantine.end(run, has_caller_left=has_caller_left)
 
     async def _async_attempt(self, call: Call, use: SlotUse) -> str:
-        """Send a request to one upstream and pass its answer on."""
-        answer = await self._async_send(call, use)
-        self._in_flight.hop(call.track, "head", use.upstream_id)
+        """Send a request to one upstream and forward its response."""
+        response = await self._async_send(call, use)
+        self._in_flight.record_hop(call.track, "head", use.upstream_id)
         try:
             with self._telemetry.span(
                 "stream", trace_parent=call.request.trace_parent
             ):
-                await self._async_pass_on(call, use, answer)
+                await self._async_forward(call, use, response)
         finally:
-            await answer.async_close()
+            await response.async_close()
         return "completed"
 
-    async def _async_send(self, call: Call, use: SlotUse) -> UpstreamAnswer:
-        """Send a request to one upstream and wait for the answer's head."""
+    async def _async_send(self, call: Call, use: SlotUse) -> UpstreamResponse:
+        """Send a request to one upstream and wait for the response head."""
         request, track = call.request, call.track
         with self._telemetry.span(
             "upstream",
@@ -242,7 +249,8 @@
             if call.claim is not None:
                 if not self._claims.may_send(call.claim):
                     raise claim_expired()
-                # The outcome is recorded for later attempts of the caller.
+                # The caller's later attempts get the recorded outcome, so the
+                # call continues even if the caller disconnects.
                 track.outlives_caller = True
             run_before, track.run = track.run, RunState.UNKNOWN
             try:
@@ -254,15 +262,15 @@
                     track.run = run_before
                 raise
 
-    async def _async_pass_on(
-        self, call: Call, use: SlotUse, answer: UpstreamAnswer
+    async def _async_forward(
+        self, call: Call, use: SlotUse, response: UpstreamResponse
     ) -> None:
-        """Pass an answer on, give the slot back and record the outcome."""
-        transfer = AnswerTransfer(
+        """Forward a response, release the slot and record the outcome."""
+        transfer = ResponseTransfer(
             call.request,
             call.exchange,
-            answer,
-            lambda: self._in_flight.apply(call.track, "answer_started"),
+            response,
+            lambda: self._in_flight.apply_event(call.track, "answer_started"),
         )
         await transfer.async_run()
         if use.run is not None:
@@ -270,7 +278,9 @@
         use.release(SlotOutcome.COMPLETED, transfer.tokens)
         call.track.run = RunState.RAN
         if call.claim is not None:
-            self._claims.record_outcome(call.claim, transfer.kept_answer())
+            self._claims.record_outcome(
+                call.claim, transfer.recorded_response()
+            )
         await transfer.async_finish()
 
 
--- a/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
@@ -1,4 +1,4 @@
-"""ASGI application for all paths of callers."""
+"""ASGI application that handles all requests of callers."""
 
 import asyncio
 import uuid
@@ -23,7 +23,7 @@
     Send,
 )
 from lacewingspar_router.components.caller_api.in_flight import (
-    InFlight,
+    InFlightRequests,
     RequestTrack,
 )
 from lacewingspar_router.components.caller_api.refusals import (
@@ -47,7 +47,7 @@
 
 
 class CallerProxy:
-    """Answers the requests of callers.
+    """Handles the requests of callers.
 
     Args:
         application: The application that holds the other components.
@@ -57,12 +57,12 @@
         self._application = application
         self._configuration = application.get(CONFIGURATION)
         self._telemetry = application.get(TELEMETRY)
-        self.in_flight = InFlight(application.now, self._telemetry)
+        self.in_flight = InFlightRequests(application.now, self._telemetry)
         self._calls = CallRunner(application, self.in_flight)
         self._index = AccessIndex({})
 
     def apply_configuration(self) -> None:
-        """Take over the documents in force."""
+        """Update the access index and the retry budgets."""
         documents = self._configuration.documents_by_service
         self._index = AccessIndex(documents)
         self._calls.retries.retain_workspaces(
@@ -75,25 +75,25 @@
 
     @property
     def in_flight_count(self) -> int:
-        """Return the number of requests that have no complete answer yet."""
+        """Return the number of requests without a complete response."""
         return self.in_flight.count
 
     def request_path(self, request_id: str) -> dict[str, Any] | None:
-        """Return the path of a recent request as JSON values."""
+        """Return the progress of a recent request as JSON, if retained."""
         return self.in_flight.path(request_id)
 
     async def async_abort_requests(self) -> int:
-        """End all requests in flight, log each and return their number."""
+        """Cancel and log all requests in flight and return their number."""
         return await self.in_flight.async_abort_requests()
 
     async def async_handle(
         self, scope: Any, receive: Receive, send: Send
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope["type"] != "http":
             return
         exchange = Exchange(scope, receive, send, uuid.uuid4().hex)
-        track = self.in_flight.enter(
+        track = self.in_flight.begin(
             exchange.request_id, scope["method"], scope["path"]
         )
         outcome = "failed"
@@ -106,9 +106,9 @@
                 request_id=exchange.request_id,
             ) as trace_parent:
                 exchange.trace_parent = trace_parent
-                outcome = await self._async_answer(exchange, track)
+                outcome = await self._async_respond(exchange, track)
         finally:
-            self.in_flight.leave(track, outcome)
+            self.in_flight.end(track, outcome)
             self._telemetry.count(
                 "requests_total",
                 service=track.service,
@@ -116,25 +116,25 @@
                 outcome=outcome,
             )
 
-    async def _async_answer(
+    async def _async_respond(
         self, exchange: Exchange, track: RequestTrack
     ) -> str:
-        """Answer one request and return how it ended."""
+        """Respond to one request and return its outcome."""
         try:
-            outcome = await self._async_checked(exchange, track)
-            self.in_flight.apply(track, _end_event(track, outcome))
+            outcome = await self._async_process(exchange, track)
+            self.in_flight.apply_event(track, _end_event(track, outcome))
             return outcome
         except RequestRefusedError as error:
             track.run = error.run
-            self.in_flight.apply(track, _refusal_event(track))
+            self.in_flight.apply_event(track, _refusal_event(track))
             if not exchange.is_started:
                 await exchange.async_refuse(error)
             return error.code
         except CallerGoneError:
-            self.in_flight.apply(track, "cancel")
+            self.in_flight.apply_event(track, "cancel")
             return "caller_gone"
         except asyncio.CancelledError:
-            self.in_flight.apply(track, "cancel")
+            self.in_flight.apply_event(track, "cancel")
             if not track.is_cut:
                 return "caller_gone"
             if exchange.is_started:
@@ -144,12 +144,12 @@
             return "cut"
         except Exception:
             _LOGGER.exception("request failed", request_id=exchange.request_id)
-            self.in_flight.apply(track, "fail")
+            self.in_flight.apply_event(track, "fail")
             if not exchange.is_started:
                 await exchange.async_refuse(internal_error(track.run))
             return "internal_error"
 
-    async def _async_checked(
+    async def _async_process(
         self, exchange: Exchange, track: RequestTrack
     ) -> str:
         self._check_state()
@@ -159,18 +159,18 @@
         if target.is_model_list:
             await exchange.async_read_body(0)
             track.run = RunState.RAN
-            await exchange.async_answer_json(
-                200, _model_list(index, workspaces)
-            )
+            await exchange.async_send_json(200, _model_list(index, workspaces))
             return "completed"
         request = await async_check_request(
             exchange, target, index, workspaces, track.arrived_at
         )
         track.service = request.document.service
         track.workspace = request.workspace.name
-        self.in_flight.keep(track)
+        self.in_flight.retain(track)
         watcher = asyncio.create_task(
-            _async_cancel_when_gone(exchange, track, asyncio.current_task())
+            _async_cancel_when_disconnected(
+                exchange, track, asyncio.current_task()
+            )
         )
         try:
             return await self._calls.async_run(request, exchange, track)
@@ -178,7 +178,7 @@
             watcher.cancel()
 
     def _check_state(self) -> None:
-        """Refuse requests while the router does not serve."""
+        """Raise a refusal unless the router serves requests."""
         life_cycle = self._application.life_cycle
         if life_cycle in (LifeCycle.DRAINING, LifeCycle.STOPPED):
             raise RequestRefusedError(
@@ -196,25 +196,25 @@
             )
 
 
-async def _async_cancel_when_gone(
+async def _async_cancel_when_disconnected(
     exchange: Exchange, track: RequestTrack, task: asyncio.Task[Any] | None
 ) -> None:
-    """Cancel a request when its caller closes the connection."""
-    await exchange.async_wait_gone()
+    """Cancel a request when its caller disconnects."""
+    await exchange.async_wait_disconnected()
     must_run_on = exchange.is_finished or track.outlives_caller
     if task is not None and not must_run_on:
         task.cancel()
 
 
 def _end_event(track: RequestTrack, outcome: str) -> str:
-    """Return the event of the request chart for the end of an answer."""
+    """Return the state chart event for the end of a response."""
     if track.state == "received":
         return "answer_here"
     return _EVENT_BY_OUTCOME.get(outcome, "answer_ended")
 
 
 def _refusal_event(track: RequestTrack) -> str:
-    """Return the event of the request chart for a refusal."""
+    """Return the state chart event for a refusal."""
     if track.state != "releasing":
         return "refuse"
     return "claim_released" if track.run is RunState.NOT_RUN else "fail"
--- a/packages/router/src/lacewingspar_router/components/scheduler/demand_sender.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/demand_sender.py
@@ -1,4 +1,4 @@
-"""Tells the owners of a service which requests wait at this router."""
+"""Sends the demand of a service at this router to the slot owners."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,19 +9,20 @@
 
 SendFunction = Callable[[str, AnyPeerMessage], int]
 
-# Above this many waiting requests, a change of less than a quarter is not
-# told to the owners at once, since it would not change their choice.
-_SMALL_QUEUE = 4
+# From this many waiting requests on, a change of less than a quarter is left to
+# the next full message, since it would not affect the owners' decisions.
+_SMALL_QUEUE_REQUESTS = 4
 
 
 class DemandSender:
-    """Sends changed demand at once and all demand now and then.
+    """Sends changes of the demand at once and the full demand periodically.
 
     Args:
         now: Returns the time in seconds.
         service: Name of the service.
-        queue: Requests that wait.
-        send: Sends a message to a router by its id and returns its bytes.
+        queue: Waiting requests.
+        send: Sends a message to a router by its id and returns its size in
+            bytes.
     """
 
     def __init__(
@@ -36,22 +37,22 @@
         self._queue = queue
         self._send = send
         self._receivers: frozenset[str] = frozenset()
-        self._waiting_told: dict[tuple[str, str], int] = {}
+        self._reported_waiting: dict[tuple[str, str], int] = {}
         self._sequence = 0
         self._sent_at = 0.0
         self._full_due_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
     def set_receivers(self, receivers: frozenset[str]) -> None:
-        """Set the owners, and tell former ones that nothing waits."""
+        """Set the owners and report no demand to former owners."""
         former = self._receivers - receivers
         self._receivers = receivers
         for router_id in former:
             self._send(router_id, self._message(full=True, entries=()))
         self.send_full()
 
-    def changed(self) -> None:
-        """Tell the owners soon, and at once if that is not too often."""
+    def schedule_changes(self) -> None:
+        """Send changes as soon as DEMAND_INTERVAL_SECONDS allows."""
         if self._timer is not None:
             return
         elapsed = self._now() - self._sent_at
@@ -64,14 +65,14 @@
         )
 
     def send_full_if_due(self) -> None:
-        """Tell the owners everything that waits, if that is due."""
+        """Send the full demand to the owners if it is due."""
         if self._now() >= self._full_due_at:
             self.send_full()
 
     def send_full(self) -> None:
-        """Tell the owners everything that waits."""
+        """Send the full demand to the owners."""
         entries = self._queue.demand(self._now())
-        self._waiting_told = {
+        self._reported_waiting = {
             (entry.workspace, entry.model): entry.waiting for entry in entries
         }
         sent_bytes = self._broadcast(self._message(full=True, entries=entries))
@@ -80,23 +81,29 @@
             sent_bytes / const.FULL_DEMAND_BYTES_PER_SECOND,
         )
 
-    def note_accepted(self, request: WaitingRequest) -> None:
-        """Count what the only owner learns from an accepted offer."""
+    def record_accepted_offer(self, request: WaitingRequest) -> None:
+        """Update the reported demand after an accepted offer.
+
+        A single owner subtracts the request itself. With several owners, the
+        others still need a demand message.
+        """
         if len(self._receivers) != 1:
             return
         key = (request.workspace, request.model)
-        self._waiting_told[key] = max(0, self._waiting_told.get(key, 0) - 1)
+        self._reported_waiting[key] = max(
+            0, self._reported_waiting.get(key, 0) - 1
+        )
 
-    def note_declined(self, workspace: str) -> None:
-        """Tell the demand of a workspace again after a while.
+    def record_declined_offer(self, workspace: str) -> None:
+        """Schedule the demand of a workspace to be sent again.
 
-        After a declined offer the owner takes it for zero.
+        The owner assumes no demand of the workspace after a declined offer.
         """
-        for key in self._waiting_told:
+        for key in self._reported_waiting:
             if key[0] == workspace:
-                self._waiting_told[key] = 0
+                self._reported_waiting[key] = 0
         asyncio.get_running_loop().call_later(
-            const.DECLINED_DEMAND_DELAY_SECONDS, self.changed
+            const.DECLINED_DEMAND_DELAY_SECONDS, self.schedule_changes
         )
 
     def _send_changes(self) -> None:
@@ -110,18 +117,20 @@
         changes = [
             entry
             for key, entry in current.items()
-            if _is_worth_telling(self._waiting_told.get(key, 0), entry.waiting)
+            if _is_significant_change(
+                self._reported_waiting.get(key, 0), entry.waiting
+            )
         ]
         changes += [
             DemandEntry(workspace, model, 0, 0.0, 0.0)
-            for (workspace, model), told in self._waiting_told.items()
-            if told and (workspace, model) not in current
+            for (workspace, model), reported in self._reported_waiting.items()
+            if reported and (workspace, model) not in current
         ]
         if not changes:
             return
         for entry in changes:
             key = (entry.workspace, entry.model)
-            self._waiting_told[key] = entry.waiting
+            self._reported_waiting[key] = entry.waiting
         self._broadcast(self._message(full=False, entries=tuple(changes)))
 
     def _message(
@@ -131,15 +140,15 @@
         return Demand(self._service, self._sequence, full, entries)
 
     def _broadcast(self, demand: Demand) -> int:
-        """Send a message to all owners and return the bytes sent."""
+        """Send a message to all owners and return the number of bytes sent."""
         return sum(
             self._send(router_id, demand) for router_id in self._receivers
         )
 
 
-def _is_worth_telling(told: int, waiting: int) -> bool:
-    """Return whether owners should hear of a change before the next report."""
-    change = abs(waiting - told)
-    if min(told, waiting) < _SMALL_QUEUE:
+def _is_significant_change(reported: int, waiting: int) -> bool:
+    """Return whether a change must be sent before the next full message."""
+    change = abs(waiting - reported)
+    if min(reported, waiting) < _SMALL_QUEUE_REQUESTS:
         return change > 0
-    return change * 4 >= told
+    return change * 4 >= reported
--- a/packages/router/src/lacewingspar_router/components/upstreams/connections.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/connections.py
@@ -1,4 +1,4 @@
-"""HTTP connections to upstream addresses."""
+"""HTTP connections to upstreams."""
 
 import ssl
 import time
@@ -8,12 +8,6 @@
 
 import httpx
 
-from lacewingspar_router.components.upstreams.answer import (
-    HttpAnswer,
-    OnEnd,
-    check_head,
-    describe,
-)
 from lacewingspar_router.components.upstreams.const import (
     CONNECT_TIMEOUT_SECONDS,
     IDLE_EXPIRY_SECONDS,
@@ -27,6 +21,12 @@
     UpstreamInvalidCallError,
 )
 from lacewingspar_router.components.upstreams.models import UpstreamCall
+from lacewingspar_router.components.upstreams.response import (
+    HttpUpstreamResponse,
+    OnEnd,
+    check_response_head,
+    describe,
+)
 from lacewingspar_router.errors import RunState
 from lacewingspar_router.http_headers import (
     REQUEST_ID_HEADER,
@@ -43,7 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _IdleTransport:
-    """A transport without a call, and since when on the monotonic clock."""
+    """A transport without a call.
+
+    Attributes:
+        transport: The transport.
+        since: Start of the idle time on the monotonic clock, in seconds.
+    """
 
     transport: httpx.AsyncHTTPTransport
     since: float
@@ -52,14 +57,15 @@
 class UpstreamConnections:
     """Connections to one upstream address.
 
-    Transports are used without a client, since a client would keep cookies of
-    one caller and send them with the calls of another. Each transport carries
-    one call at a time, because the pool inside a transport goes through all
-    pairs of its connections at each call: 64 calls at once took 6 ms each.
+    Transports are used without an httpx client, because a client would store
+    the cookies of one caller and send them with the calls of another. Each
+    transport carries one call at a time, because the pool of a transport
+    compares all pairs of its connections for each call: 64 concurrent calls
+    took 6 ms each.
 
     Args:
         address: Base URL from the service document.
-        address_map: Replacements of `host:port`.
+        address_map: Replacement `host:port` by original `host:port`.
         ssl_context: TLS settings, shared by all addresses.
     """
 
@@ -81,28 +87,30 @@
         self._transports: set[httpx.AsyncHTTPTransport] = set()
         self._idle: deque[_IdleTransport] = deque()
 
-    async def async_call(self, call: UpstreamCall, on_end: OnEnd) -> HttpAnswer:
-        """Send a call and wait for the head of the answer.
+    async def async_call(
+        self, call: UpstreamCall, on_end: OnEnd
+    ) -> HttpUpstreamResponse:
+        """Send a call and wait for the response head.
 
         Raises:
             UpstreamError: The call failed.
         """
-        transport = self._take()
+        transport = self._acquire_transport()
         try:
             response = await self._async_send(transport, call)
             try:
-                expected_bytes = check_head(call, response)
+                expected_bytes = check_response_head(call, response)
             except UpstreamError:
                 await response.aclose()
                 raise
         except BaseException:
-            await self._async_give_back(transport)
+            await self._async_release_transport(transport)
             raise
-        return HttpAnswer(
+        return HttpUpstreamResponse(
             response,
             expected_bytes,
             on_end,
-            lambda: self._async_give_back(transport),
+            lambda: self._async_release_transport(transport),
         )
 
     async def async_close(self) -> None:
@@ -111,8 +119,8 @@
         while self._transports:
             await self._transports.pop().aclose()
 
-    def _take(self) -> httpx.AsyncHTTPTransport:
-        """Return the transport that was used last, or a new one."""
+    def _acquire_transport(self) -> httpx.AsyncHTTPTransport:
+        """Return the most recently used idle transport, or a new one."""
         if self._idle:
             return self._idle.pop().transport
         transport = httpx.AsyncHTTPTransport(
@@ -123,10 +131,10 @@
         self._transports.add(transport)
         return transport
 
-    async def _async_give_back(
+    async def _async_release_transport(
         self, transport: httpx.AsyncHTTPTransport
     ) -> None:
-        """Keep a transport for reuse and close those that are not needed."""
+        """Keep a transport for reuse and close expired or surplus ones."""
         if transport not in self._transports:
             return
         now = time.monotonic()
@@ -158,7 +166,7 @@
             ) from error
         except httpx.HTTPError as error:
             raise UpstreamBrokenError(
-                f"no answer: {describe(error)}", run=RunState.UNKNOWN
+                f"no response: {describe(error)}", run=RunState.UNKNOWN
             ) from error
 
     def _request(self, call: UpstreamCall) -> httpx.Request:
@@ -179,7 +187,7 @@
             headers=headers,
             stream=httpx.ByteStream(call.body),
             extensions={
-                # Keeps the caller's spelling of the path.
+                # Preserves the caller's spelling of the path.
                 "target": call.path.encode("latin-1"),
                 "timeout": {
                     "connect": CONNECT_TIMEOUT_SECONDS,
--- a/packages/router/src/lacewingspar_router/components/upstreams/pool.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/pool.py
@@ -1,4 +1,4 @@
-"""Upstreams of all services in force."""
+"""Upstreams of all active services."""
 
 import asyncio
 import ssl
@@ -13,13 +13,12 @@
     CONFIGURATION,
 )
 from lacewingspar_router.components.telemetry.models import TELEMETRY
-from lacewingspar_router.components.upstreams.answer import HttpAnswer
 from lacewingspar_router.components.upstreams.connections import (
     UpstreamConnections,
 )
 from lacewingspar_router.components.upstreams.const import (
-    REACH_CHECKS,
-    UP_CHECK_SECONDS,
+    MAX_REACHABILITY_CHECKS,
+    UP_CHECK_TIMEOUT_SECONDS,
 )
 from lacewingspar_router.components.upstreams.errors import (
     UpstreamConnectError,
@@ -35,6 +34,9 @@
     UpstreamCall,
     UpstreamStatus,
 )
+from lacewingspar_router.components.upstreams.response import (
+    HttpUpstreamResponse,
+)
 from lacewingspar_router.components.vm_list.models import VM_LIST
 from lacewingspar_router.errors import RunState
 
@@ -74,15 +76,15 @@
         return self._monitor.status_by_upstream
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change of a status."""
+        """Register a function that is called after every status change."""
         self._monitor.add_listener(listener)
 
     def set_polled(self, keys: Collection[UpstreamKey]) -> None:
-        """Poll only these upstreams of the own data centre for load."""
+        """Select the upstreams to poll for load."""
         self._monitor.set_polled(keys)
 
     def apply_configuration(self) -> None:
-        """Take over the upstreams of the documents in force."""
+        """Apply the upstreams of the active documents."""
         documents = self._configuration.documents_by_service
         self._address_by_upstream = {
             (name, upstream.id): upstream.address
@@ -99,13 +101,13 @@
         )
 
     def apply_vm_list(self) -> None:
-        """Take over which VMs are about to leave."""
+        """Apply the list of VMs that are about to leave."""
         self._monitor.set_leaving_vms(self._vm_list.leaving_vms)
 
     async def async_call(
         self, service: str, upstream_id: str, call: UpstreamCall
-    ) -> HttpAnswer:
-        """Send a call and wait for the head of the answer.
+    ) -> HttpUpstreamResponse:
+        """Send a call and wait for the response head.
 
         Raises:
             UpstreamError: The call failed; its `run` attribute says whether
@@ -122,35 +124,35 @@
         latency_seconds = 0.0
 
         def on_end(error: UpstreamError | None) -> None:
-            self._note_end(key, error, latency_seconds)
+            self._record_end(key, error, latency_seconds)
 
         try:
-            answer = await self._connections(address).async_call(call, on_end)
+            response = await self._connections(address).async_call(call, on_end)
         except UpstreamError as error:
-            self._note_end(key, error, latency_seconds)
+            self._record_end(key, error, latency_seconds)
             raise
         latency_seconds = self._application.now() - sent_at
-        return answer
+        return response
 
     async def async_is_up(self, service: str, upstream_id: str) -> bool:
-        """Return whether an upstream answers HTTP requests."""
+        """Return whether an upstream responds to HTTP requests."""
         address = self._address_by_upstream.get((service, upstream_id))
         if address is None:
             return False
         url = map_url(address, self._application.settings.address_map)
         try:
             await self._health_client.get(
-                url + HEALTH_PATH, timeout=UP_CHECK_SECONDS
+                url + HEALTH_PATH, timeout=UP_CHECK_TIMEOUT_SECONDS
             )
         except (httpx.HTTPError, httpx.InvalidURL):
             return False
         return True
 
     async def async_is_reachable(self, service: str, upstream_id: str) -> bool:
-        """Return whether the network to an upstream's data centre works.
+        """Return whether the data centre of an upstream is reachable.
 
-        Another data centre counts as cut off unless one of its other
-        upstreams answers.
+        Another data centre counts as reachable only if one of its other
+        upstreams responds.
         """
         key = (service, upstream_id)
         data_centre = self._data_centre_by_upstream.get(key)
@@ -163,10 +165,13 @@
             if place == data_centre
             and self._address_by_upstream[other] != address
         ]
-        answers = await asyncio.gather(
-            *(self.async_is_up(*other) for other in others[:REACH_CHECKS])
+        responses = await asyncio.gather(
+            *(
+                self.async_is_up(*other)
+                for other in others[:MAX_REACHABILITY_CHECKS]
+            )
         )
-        return any(answers)
+        return any(responses)
 
     async def async_close(self) -> None:
         """Close all connections."""
@@ -187,15 +192,15 @@
             self._connections_by_address[address] = connections
         return connections
 
-    def _note_end(
+    def _record_end(
         self,
         key: UpstreamKey,
         error: UpstreamError | None,
         latency_seconds: float,
     ) -> None:
-        """Note how a call ended in the upstream's health."""
+        """Record the end of a call in the health of the upstream."""
         if error is None:
-            self._monitor.on_answer(*key, latency_seconds)
+            self._monitor.record_response(*key, latency_seconds)
             return
         if isinstance(error, UpstreamMismatchError):
             self._telemetry.count(
@@ -208,4 +213,4 @@
             error=str(error),
             run=error.run,
         )
-        self._monitor.on_failure(*key, error)
+        self._monitor.record_failure(*key, error)
--- a/tests/router/components/caller_api/test_answer_body.py
+++ b/tests/router/components/caller_api/test_response_body.py
@@ -1,8 +1,10 @@
-"""Bodies of answers on their way to the caller."""
+"""Buffering of response bodies."""
 
 import pytest
 
-from lacewingspar_router.components.caller_api.answer_body import EventGate
+from lacewingspar_router.components.caller_api.response_body import (
+    CompleteEventBuffer,
+)
 
 
 @pytest.mark.parametrize(
@@ -19,7 +21,7 @@
 def test_only_whole_events_pass(
     parts: list[bytes], passed: list[bytes], held: bytes
 ) -> None:
-    """Guards against an error event that runs into a cut event."""
-    gate = EventGate()
-    assert [gate.push(part) for part in parts] == passed
-    assert gate.flush() == held
+    """An error event must not follow an incomplete event."""
+    buffer = CompleteEventBuffer()
+    assert [buffer.push(part) for part in parts] == passed
+    assert buffer.flush() == held
--- a/tests/router/test_refusals.py
+++ b/tests/router/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals before a request is queued."""
+"""Requests that are refused before they are queued."""
 
 from dataclasses import replace
 from typing import Any
@@ -12,7 +12,7 @@
 CHAT = "/v1/chat/completions"
 MODEL = b'{"model": "small"}'
 
-# Method, path, further headers, body, status and code.
+# Method, path, additional headers, body, expected status and code.
 REFUSALS: list[tuple[str, str, dict[str, str], bytes, int, str]] = [
     ("POST", CHAT, {"authorization": ""}, MODEL, 401, "token_missing"),
     ("POST", CHAT, {"authorization": "Basic x"}, MODEL, 401, "token_missing"),
@@ -85,21 +85,21 @@
     status: int,
     code: str,
 ) -> None:
-    """Guards against a bad request that takes a slot or claims a run."""
+    """Guards against an invalid request that takes a slot or has run."""
     async with routed(ports=(9,)) as router:
         documents = router.configuration.documents_by_service
         documents["other"] = replace(
             documents["swap"], service="other", workspaces=()
         )
         router.proxy.apply_configuration()
-        answer = await router.client.request(
+        response = await router.client.request(
             method, path, headers=AUTHORIZED | headers, content=body
         )
-        error = answer.json()["error"]
-        assert (answer.status_code, error["code"]) == (status, code)
+        error = response.json()["error"]
+        assert (response.status_code, error["code"]) == (status, code)
         assert error["run"] == "not_run"
-        assert error["request_id"] == answer.headers["x-request-id"]
-        assert answer.headers["traceparent"]
+        assert error["request_id"] == response.headers["x-request-id"]
+        assert response.headers["traceparent"]
         assert router.scheduler.requests == []
         assert router.proxy.in_flight_count == 0
 
@@ -116,21 +116,21 @@
 async def test_refused_while_not_serving(
     life_cycle: LifeCycle, is_ready: bool, code: str, path: str
 ) -> None:
-    """Guards against new work at a router that starts or shuts down."""
+    """Guards against requests at a router that is starting or stopping."""
     async with routed(ports=(9,)) as router:
         router.application.life_cycle = life_cycle
         router.configuration.is_ready = is_ready
-        answer = await router.client.post(path, headers=AUTHORIZED)
-        assert (answer.status_code, answer.json()["error"]["code"]) == (
+        response = await router.client.post(path, headers=AUTHORIZED)
+        assert (response.status_code, response.json()["error"]["code"]) == (
             503,
             code,
         )
-        assert int(answer.headers["retry-after"]) >= 1
-        assert answer.headers["connection"] == "close"
+        assert int(response.headers["retry-after"]) >= 1
+        assert response.headers["connection"] == "close"
 
 
 async def test_token_that_is_withdrawn_is_refused_at_once() -> None:
-    """Guards against an index that outlives the configuration."""
+    """Guards against an access index of an outdated configuration."""
     async with routed(ports=(9,)) as router:
         documents: Any = router.configuration.documents_by_service
         for name, document in documents.items():
@@ -138,14 +138,14 @@
         for listener in router.configuration.listeners:
             listener()
         router.proxy.apply_configuration()
-        answer = await router.chat()
-        assert answer.json()["error"]["code"] == "token_unknown"
+        response = await router.chat()
+        assert response.json()["error"]["code"] == "token_unknown"
 
 
 async def test_model_list_shows_the_callers_models_only() -> None:
     async with routed(ports=(9,)) as router:
-        answer = await router.client.get("/v1/models", headers=AUTHORIZED)
-        assert [item["id"] for item in answer.json()["data"]] == ["small"]
+        response = await router.client.get("/v1/models", headers=AUTHORIZED)
+        assert [item["id"] for item in response.json()["data"]] == ["small"]
         other = {"authorization": f"Bearer {OTHER_TOKEN}"}
-        answer = await router.client.get("/v1/models", headers=other)
-        assert answer.status_code == 401
+        response = await router.client.get("/v1/models", headers=other)
+        assert response.status_code == 401
--- a/tests/router/test_streams.py
+++ b/tests/router/test_streams.py
@@ -1,4 +1,4 @@
-"""Answers on their way to the caller, whole and broken."""
+"""Forwarding of complete and broken responses, end to end."""
 
 import asyncio
 import json
@@ -10,17 +10,17 @@
 from tests.router.conftest import AUTHORIZED, Router, answering, events, routed
 
 from lacewingspar_core.messages import SlotOutcome
-from lacewingspar_router.components.caller_api.answer_body import (
-    AnswerTail,
-    EventGate,
-)
 from lacewingspar_router.components.caller_api.const import (
     METRIC_CHART_ERRORS,
 )
 from lacewingspar_router.components.caller_api.in_flight import (
-    InFlight,
+    InFlightRequests,
     RequestTrack,
 )
+from lacewingspar_router.components.caller_api.response_body import (
+    CompleteEventBuffer,
+    ResponseTail,
+)
 
 FIRST = b'data: {"n": 1}\n\n'
 USAGE = b'data: {"usage": {"total_tokens": 42}}\n\n'
@@ -35,8 +35,8 @@
     try:
         async with router.client.stream(
             "POST", path, headers=AUTHORIZED, content=body
-        ) as answer:
-            async for part in answer.aiter_raw():
+        ) as response:
+            async for part in response.aiter_raw():
                 received += part
     except httpx.RemoteProtocolError:
         return received, False
@@ -44,34 +44,36 @@
 
 
 async def test_answer_keeps_status_headers_and_identity() -> None:
-    """Guards against a proxy that loses or invents parts of an answer."""
+    """Guards against a proxy that drops or adds parts of a response."""
     calls: list[Any] = []
     headers = {"x-a": "1", "set-cookie": "a=b", "connection": "x-b", "x-b": "2"}
     upstream = answering(b"{}", status=418, headers=headers, calls=calls)
     async with routed(upstream) as router:
         for _ in range(2):
-            answer = await router.client.put(
+            response = await router.client.put(
                 "/services/swap/a%2Fb/?q=%20",
                 headers=AUTHORIZED | {"x-c": "3", "idempotency-key": "k"},
                 content=b"1",
             )
-            # The test's client would send the cookie itself.
+            # Otherwise the test client would send the cookie itself.
             router.client.cookies.clear()
-        assert (answer.status_code, answer.content) == (418, b"{}")
-        assert answer.headers["x-a"] == "1"
-        assert "x-b" not in answer.headers
+        assert (response.status_code, response.content) == (418, b"{}")
+        assert response.headers["x-a"] == "1"
+        assert "x-b" not in response.headers
         sent = dict(calls[1]["headers"])
         assert calls[1]["raw_path"] == b"/a%2Fb/"
         assert calls[1]["query_string"] == b"q=%20"
         assert sent[b"x-c"] == b"3"
         assert sent[b"idempotency-key"] == b"alpha/k"
-        assert sent[b"x-request-id"].decode() == answer.headers["x-request-id"]
+        assert (
+            sent[b"x-request-id"].decode() == response.headers["x-request-id"]
+        )
         # A token or a cookie of one caller must not reach other services.
         assert not sent.keys() & {b"authorization", b"cookie"}
 
 
 async def test_stream_arrives_event_by_event() -> None:
-    """Guards against a router that collects a stream before it sends it."""
+    """Guards against a router that buffers a whole stream."""
     hold = asyncio.Event()
     async with (
         routed(events(FIRST, hold=hold)) as router,
@@ -80,9 +82,9 @@
             "/v1/chat/completions",
             headers=AUTHORIZED,
             content=b'{"model": "small"}',
-        ) as answer,
+        ) as response,
     ):
-        parts = answer.aiter_raw()
+        parts = response.aiter_raw()
         assert await anext(parts) == FIRST
         hold.set()
         assert b"stream_interrupted" in await anext(parts)
@@ -102,7 +104,7 @@
 async def test_broken_stream_never_looks_complete(
     parts: tuple[bytes, ...], is_complete: bool
 ) -> None:
-    """Guards against a caller that takes half a text for the whole."""
+    """Guards against a truncated stream that looks complete."""
     async with routed(events(*parts, is_complete=is_complete)) as router:
         body, was_complete = await read(router, "/v1/chat/completions")
         assert not was_complete
@@ -121,7 +123,7 @@
 async def test_broken_whole_answer_breaks_the_transfer(
     headers: dict[str, str],
 ) -> None:
-    """Guards against a short body with a proper end."""
+    """Guards against a truncated body that looks complete."""
     upstream = answering(b"half", headers=headers, is_complete=False)
     async with routed(upstream) as router:
         body, is_complete = await read(router, "/services/swap/x")
@@ -129,7 +131,7 @@
 
 
 async def test_body_without_any_framing_is_refused() -> None:
-    """Guards against a body whose break cannot be told from its end."""
+    """Guards against a body whose truncation cannot be detected."""
 
     async def handle(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -143,12 +145,14 @@
     server = await asyncio.start_server(handle, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     async with server, routed(ports=(port,)) as router:
-        answer = await router.client.post("/services/swap/", headers=AUTHORIZED)
-        assert answer.json()["error"]["code"] == "upstream_broken"
+        response = await router.client.post(
+            "/services/swap/", headers=AUTHORIZED
+        )
+        assert response.json()["error"]["code"] == "upstream_broken"
 
 
 async def test_caller_who_leaves_frees_the_slot() -> None:
-    """Guards against work for nobody."""
+    """Guards against a slot that is used for a disconnected caller."""
     hold, called = asyncio.Event(), asyncio.Event()
     async with routed(events(FIRST, hold=hold, called=called)) as router:
         request = asyncio.create_task(router.chat())
@@ -163,20 +167,20 @@
 @pytest.mark.parametrize("method", ["HEAD", "GET"])
 @pytest.mark.parametrize("status", [200, 204, 304])
 async def test_answers_without_a_body(method: str, status: int) -> None:
-    """Guards against answers that wait for a body which never comes."""
+    """Guards against waiting for a body that does not exist."""
     upstream = answering(status=status)
     async with routed(upstream) as router:
         for _ in range(2):
-            answer = await router.client.request(
+            response = await router.client.request(
                 method, "/services/swap/", headers=AUTHORIZED
             )
-            assert (answer.status_code, answer.content) == (status, b"")
+            assert (response.status_code, response.content) == (status, b"")
 
 
 async def test_path_of_a_request_names_its_hops() -> None:
     async with routed(answering(b"{}")) as router:
-        answer = await router.chat()
-        path = router.proxy.request_path(answer.headers["x-request-id"])
+        response = await router.chat()
+        path = router.proxy.request_path(response.headers["x-request-id"])
         assert path is not None
         assert [hop["hop"] for hop in path["hops"]] == [
             "queue",
@@ -189,11 +193,11 @@
 
 
 def test_event_without_transition_is_counted() -> None:
-    """Guards against a request that fails because of its own record."""
+    """Guards against a request that fails because of a state chart bug."""
     telemetry = Mock()
-    in_flight = InFlight(lambda: 0.0, telemetry)
+    in_flight = InFlightRequests(lambda: 0.0, telemetry)
     track = RequestTrack("id", "GET", "/", 0.0)
-    in_flight.apply(track, "answer_ended")
+    in_flight.apply_event(track, "answer_ended")
     assert track.state == "received"
     telemetry.count.assert_called_once_with(
         METRIC_CHART_ERRORS, state="received", event="answer_ended"
@@ -202,13 +206,13 @@
 
 @pytest.mark.parametrize("size", range(1, 8))
 def test_gate_passes_whole_events_only(size: int) -> None:
-    """Guards against an error event inside a broken one."""
+    """An error event must not follow an incomplete event."""
     data = b"data: a\n\ndata: b\r\n\r\ndata: c\n\ndata: d"
-    gate, passed = EventGate(), b""
+    buffer, passed = CompleteEventBuffer(), b""
     for start in range(0, len(data), size):
-        passed += gate.push(data[start : start + size])
+        passed += buffer.push(data[start : start + size])
         assert not passed or passed.endswith((b"\n\n", b"\r\n\r\n"))
-    assert passed + gate.flush() == data
+    assert passed + buffer.flush() == data
     assert passed == data[: -len(b"data: d")]
 
 
@@ -226,8 +230,8 @@
     ],
 )
 def test_tail(text: bytes, is_complete: bool, tokens: int) -> None:
-    """Guards against generated text that is taken for the end marker."""
-    tail = AnswerTail()
+    """Guards against generated text that looks like the end marker."""
+    tail = ResponseTail()
     for start in range(0, len(text), 5):
         tail.add(text[start : start + 5])
     assert (tail.has_end_marker, tail.tokens) == (is_complete, tokens)
