--- a/packages/router/src/lacewingspar_router/components/caller_api/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/__init__.py
@@ -13,7 +13,7 @@
 
 
 async def async_setup(application: Application) -> None:
-    """Serve callers on their address."""
+    """Start the HTTP server for callers."""
     proxy = CallerProxy(application)
     proxy.apply_configuration()
     application.get(CONFIGURATION).add_listener(proxy.apply_configuration)
@@ -35,7 +35,7 @@
 
 def caller_app(proxy: CallerProxy) -> Litestar:
     """Return the ASGI application for callers."""
-    # A raw ASGI route passes each part of an answer on without conversion.
+    # A raw ASGI route forwards each response chunk without conversion.
     route = asgi("/", is_mount=True, copy_scope=False)(proxy.async_handle)
     return Litestar(
         route_handlers=[route], openapi_config=None, logging_config=None
--- a/packages/router/src/lacewingspar_router/components/caller_api/access.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/access.py
@@ -1,4 +1,4 @@
-"""Index of callers and models by the documents in force."""
+"""Index of workspaces by token and of services by model."""
 
 import hashlib
 from collections.abc import Mapping
@@ -11,10 +11,10 @@
 
 
 class AccessIndex:
-    """Who may use which service, and which service has which model.
+    """Maps tokens to workspaces and models to services.
 
     Args:
-        documents_by_service: Documents in force.
+        documents_by_service: Active service documents.
     """
 
     def __init__(
@@ -27,14 +27,19 @@
             self._add(documents_by_service[service])
 
     def workspace_by_service(self, token: str) -> Mapping[str, Workspace]:
-        """Return the workspaces of a token; empty if it is unknown."""
+        """Return the workspaces of a token, empty for an unknown token."""
         digest = hashlib.sha256(token.encode()).hexdigest()
         return self._workspaces_by_token.get(digest, {})
 
     def service_of_model(
         self, model: str, workspace_by_service: Mapping[str, Workspace]
     ) -> str | None:
-        """Return the service of a model, preferring one of the caller's."""
+        """Return a service that has a model, if possible one of the caller's.
+
+        Args:
+            model: Name of the model.
+            workspace_by_service: The caller's workspaces.
+        """
         services = self._services_by_model.get(model, [])
         for service in services:
             if service in workspace_by_service:
--- a/packages/router/src/lacewingspar_router/components/caller_api/answer_body.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/answer_body.py
@@ -1,4 +1,4 @@
-"""Bodies of answers on their way to the caller."""
+"""Inspection and buffering of response bodies."""
 
 import re
 
@@ -8,50 +8,49 @@
     TAIL_BYTES,
 )
 
-# Quotes inside text of a JSON value are escaped, so generated text cannot
-# match.
+# Quotes within a JSON string are escaped, so generated text cannot match.
 _TOTAL_TOKENS = re.compile(rb'"total_tokens"\s*:\s*(\d{1,12})')
 _EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
 
 class AnswerTail:
-    """Keeps the end of an answer."""
+    """Keeps the end of a response body."""
 
     def __init__(self) -> None:
         self._tail = bytearray()
 
     def add(self, part: bytes) -> None:
-        """Add the next part of the body."""
+        """Append a chunk of the body."""
         self._tail += part
         if len(self._tail) > 2 * TAIL_BYTES:
             del self._tail[:-TAIL_BYTES]
 
     @property
     def has_end_marker(self) -> bool:
-        """Return whether the last line is the end marker of event streams."""
+        """Return whether the last line is the end marker of an event stream."""
         lines = bytes(self._tail).rstrip(b"\r\n").splitlines()
         return bool(lines) and lines[-1] == END_MARKER
 
     @property
     def tokens(self) -> int:
-        """Return the number of tokens that the upstream reported, or 0."""
+        """Return the token count that the upstream reported, or 0."""
         found = _TOTAL_TOKENS.findall(self._tail)
         return int(found[-1]) if found else 0
 
 
 class EventGate:
-    """Lets only whole events pass.
+    """Buffers an event stream and releases only complete events.
 
-    An event that is cut in the middle would run into the error event that
-    follows it.
+    If the stream breaks, an error event follows. It would merge with an event
+    that was sent only in part.
     """
 
     def __init__(self) -> None:
         self._held = b""
 
     def push(self, part: bytes) -> bytes:
-        """Add a part of the stream and return what may be sent now."""
-        # Engines send whole events as a rule.
+        """Append a chunk of the stream and return the complete events."""
+        # Fast path: inference engines usually send complete events.
         if not self._held and part.endswith(_EVENT_ENDS):
             return part
         data = self._held + part if self._held else part
@@ -65,6 +64,6 @@
         return data[:end]
 
     def flush(self) -> bytes:
-        """Return what is held."""
+        """Return the buffered rest and clear the buffer."""
         held, self._held = self._held, b""
         return held
--- a/packages/router/src/lacewingspar_router/components/caller_api/calls.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/calls.py
@@ -1,4 +1,4 @@
-"""Path of a checked request from the queue to the end of its answer."""
+"""Processing of a validated request from the queue to its response."""
 
 import asyncio
 from dataclasses import dataclass
@@ -46,20 +46,20 @@
 )
 from lacewingspar_router.errors import RequestRefusedError, RunState
 
-# Refusals of a call whose claim ran out while it waited for a slot.
+# Codes of refusals if a claim expires while the request waits for a slot.
 _CODES_OF_EXPIRED_CLAIMS = frozenset({"deadline_passed", "claim_expired"})
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request on its way.
+    """A request in flight.
 
     Attributes:
         request: The request.
         subject: Identity of the request for the quarantine.
-        exchange: Exchange with the caller.
-        track: Path of the request.
-        claim: Claim of its key, if it has one.
+        exchange: HTTP exchange with the caller.
+        track: Progress of the request through this router.
+        claim: Claim of the idempotency key, if the request has a key.
     """
 
     request: CallerRequest
@@ -70,7 +70,7 @@
 
 
 class CallRunner:
-    """Runs checked requests.
+    """Runs validated requests.
 
     Args:
         application: The application that holds the other components.
@@ -90,13 +90,13 @@
     async def async_run(
         self, request: CallerRequest, exchange: Exchange, track: RequestTrack
     ) -> str:
-        """Queue and send a request and answer the caller.
+        """Queue a request, send it to an upstream and respond to the caller.
 
         Returns:
-            How the request ended, for its path.
+            Outcome of the request.
 
         Raises:
-            RequestRefusedError: The request gets a refusal.
+            RequestRefusedError: The request is refused.
         """
         subject = Subject(
             request.document.service, request.target, request.body
@@ -128,9 +128,9 @@
     async def _async_give_up(
         self, call: Call, error: RequestRefusedError
     ) -> None:
-        """Give up the claim of a refused call and set the run state."""
+        """Set the run state of a refusal and release the unused claim."""
         track = call.track
-        # An earlier attempt may have run although the last one did not.
+        # An earlier attempt may have run even if the last one did not.
         if track.run is not RunState.NOT_RUN:
             error.run = track.run
         elif call.claim is not None:
@@ -140,9 +140,10 @@
             )
 
     def _may_claim_again(self, call: Call, error: RequestRefusedError) -> bool:
-        """Return whether only the claim has run out, not the deadline.
+        """Return whether a call whose claim expired may claim its key again.
 
-        The release has been read back, so the key is free.
+        The run state is `NOT_RUN` only after the release was confirmed, so the
+        key is free.
         """
         now = self._now()
         return (
@@ -154,7 +155,7 @@
         )
 
     async def _async_attempts(self, call: Call, attempts: Attempts) -> str:
-        """Send a request until an attempt succeeds or no more are allowed."""
+        """Send a request until an attempt succeeds or retries are exhausted."""
         request = call.request
         while True:
             use = await self._async_acquire(call, attempts)
@@ -186,11 +187,11 @@
                 self._end_run(use)
 
     async def _async_acquire(self, call: Call, attempts: Attempts) -> SlotUse:
-        """Wait for a slot of an upstream that has not failed."""
+        """Wait for a slot of an upstream on which no attempt has failed."""
         request = call.request
         deadline_at = request.deadline_at
         if call.claim is not None:
-            # After that time the slot could not be used.
+            # The call must not be sent after its claim expires.
             deadline_at = min(deadline_at, call.claim.send_before)
         is_retry = bool(attempts.failed_upstreams)
         self._in_flight.apply(call.track, "retry" if is_retry else "enqueue")
@@ -206,7 +207,7 @@
     def _confirm_crash(
         self, use: SlotUse, error: UpstreamError
     ) -> asyncio.Task[None] | None:
-        """Begin to check whether an upstream has crashed, if it may have."""
+        """Start to check whether an upstream crashed, if its response broke."""
         if use.run is None or not isinstance(error, UpstreamBrokenError):
             return None
         return self._quarantine.on_break(use.run)
@@ -217,7 +218,7 @@
             self._quarantine.end(run, is_left=is_left)
 
     async def _async_attempt(self, call: Call, use: SlotUse) -> str:
-        """Send a request to one upstream and pass its answer on."""
+        """Send a request to one upstream and forward its response."""
         answer = await self._async_send(call, use)
         self._in_flight.hop(call.track, "head", use.upstream_id)
         try:
@@ -230,7 +231,7 @@
         return "completed"
 
     async def _async_send(self, call: Call, use: SlotUse) -> UpstreamAnswer:
-        """Send a request to one upstream and wait for the answer's head."""
+        """Send a request to one upstream and wait for the response head."""
         request, track = call.request, call.track
         with self._telemetry.span(
             "upstream",
@@ -242,7 +243,8 @@
             if call.claim is not None:
                 if not self._claims.may_send(call.claim):
                     raise claim_expired()
-                # The outcome is recorded for later attempts of the caller.
+                # The caller's later attempts get the recorded outcome, so the
+                # call continues even if the caller disconnects.
                 track.outlives_caller = True
             run_before, track.run = track.run, RunState.UNKNOWN
             try:
@@ -257,7 +259,7 @@
     async def _async_pass_on(
         self, call: Call, use: SlotUse, answer: UpstreamAnswer
     ) -> None:
-        """Pass an answer on, give the slot back and record the outcome."""
+        """Forward a response, release the slot and record the outcome."""
         transfer = AnswerTransfer(
             call.request,
             call.exchange,
--- a/packages/router/src/lacewingspar_router/components/caller_api/checks.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a request before it is queued."""
+"""Validation of a request before it is queued."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -51,7 +51,7 @@
         b"expect",
     }
 )
-# An encoded answer would hide the end marker and the token counts.
+# In a compressed response, the end marker and the token counts cannot be found.
 _MODEL_HEADERS = _ROUTER_HEADERS | {b"accept-encoding"}
 
 
@@ -84,10 +84,10 @@
     workspaces: Mapping[str, Workspace],
     arrived_at: float,
 ) -> CallerRequest:
-    """Read a request and check it.
+    """Read and validate a request.
 
     Raises:
-        RequestRefusedError: The request must not be queued.
+        RequestRefusedError: The request is invalid or not permitted.
         CallerGoneError: The caller closed the connection.
     """
     options = read_options(exchange.headers)
@@ -148,7 +148,7 @@
 def _largest_body(
     index: AccessIndex, workspaces: Mapping[str, Workspace]
 ) -> int:
-    """Return the largest body of the model services of a caller."""
+    """Return the maximum body size over the caller's model services."""
     documents = [index.documents_by_service[name] for name in workspaces]
     sizes = [
         document.limits.body_bytes
@@ -175,7 +175,7 @@
 def _model_of_service(
     document: ServiceDocument, target: Target, body: bytes
 ) -> str:
-    """Return the model that a call to a named service needs, or ""."""
+    """Return the model that a call to a named service requests, or ""."""
     if document.kind is not ServiceKind.MODEL or not target.has_model:
         return ""
     model = _model_in(body)
@@ -235,8 +235,8 @@
     removed = _MODEL_HEADERS if is_model else _ROUTER_HEADERS
     headers: list[Any] = end_to_end_headers(exchange.headers, removed)
     if options.idempotency_key is not None:
-        # Workspaces may use equal keys. An upstream that keeps answers by key
-        # must not answer one workspace with the answer of another.
+        # Two workspaces may use the same key. Without the prefix, an upstream
+        # that caches responses by key could mix them up.
         key = f"{workspace.name}/{options.idempotency_key}"
         headers.append((HEADER_KEY, key.encode("latin-1")))
     return tuple(
--- a/packages/router/src/lacewingspar_router/components/caller_api/claimed.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/claimed.py
@@ -1,4 +1,4 @@
-"""Claims of calls that carry an idempotency key."""
+"""Claims of calls with an idempotency key."""
 
 import asyncio
 import hashlib
@@ -37,7 +37,7 @@
 
 
 class CallClaims:
-    """Claims keys for calls and gives up the claims that are not used.
+    """Claims idempotency keys for calls and releases unused claims.
 
     Args:
         application: The application that holds the claims component.
@@ -50,10 +50,11 @@
     async def async_claim(
         self, request: CallerRequest
     ) -> ClaimGranted | ClaimAnswered | None:
-        """Claim the key of a request.
+        """Claim the idempotency key of a request.
 
         Returns:
-            The claim, the first answer of the call, or None without a key.
+            The claim, the recorded first response of the call, or None if the
+            request has no key.
 
         Raises:
             RequestRefusedError: The call must not be sent.
@@ -85,19 +86,19 @@
         raise _refusal(decision)
 
     def may_send(self, claim: ClaimGranted) -> bool:
-        """Return whether the call may be sent now, and use the claim up."""
+        """Return whether the call may be sent now, and consume the claim."""
         return self._claims.may_send(claim)
 
     def record_outcome(
         self, claim: ClaimGranted, answer: ClaimAnswered
     ) -> None:
-        """Record the first answer of a call."""
+        """Record the first response of a call."""
         self._claims.record_outcome(claim, answer)
 
     def release(
         self, claim: ClaimGranted, *, was_sent: bool = False
     ) -> asyncio.Task[bool]:
-        """Give up the claim of a call that has not run, in the background."""
+        """Release the claim of a call that has not run, in the background."""
         return self._application.create_task(
             self._claims.async_release(claim, was_sent=was_sent),
             "claim release",
@@ -110,9 +111,10 @@
         *,
         was_sent: bool,
     ) -> None:
-        """Give up the claim of a call that has not run and is refused.
+        """Release the claim of a refused call that has not run.
 
-        The refusal says `unknown` unless the release is confirmed in time.
+        The run state of the refusal is `unknown` unless the release is
+        confirmed within RELEASE_LIMIT_SECONDS.
         """
         error.run = RunState.UNKNOWN
         task = self.release(claim, was_sent=was_sent)
@@ -121,7 +123,7 @@
             error.run = RunState.NOT_RUN
 
     def _release_when_granted(self, task: asyncio.Task[ClaimDecision]) -> None:
-        """Give up a claim that is granted after its caller has its answer."""
+        """Release a claim if it is granted after the request has ended."""
 
         def on_done(done: asyncio.Task[ClaimDecision]) -> None:
             if done.cancelled() or done.exception() is not None:
@@ -134,16 +136,16 @@
 
 
 async def async_replay(exchange: Exchange, answer: ClaimAnswered) -> None:
-    """Send the first answer of a call again.
+    """Send the recorded first response of a call to the caller.
 
     Raises:
-        RequestRefusedError: The first answer was not kept.
+        RequestRefusedError: The response body was too large to be recorded.
     """
     if answer.body is None:
         raise RequestRefusedError(
             409,
             "answer_not_kept",
-            "the call has run; its answer was too large to be kept",
+            "the call has run, but its response was too large to be recorded",
             run=RunState.RAN,
         )
     headers = [
@@ -169,7 +171,7 @@
             return RequestRefusedError(
                 409,
                 "in_progress",
-                "another attempt with this key is under way",
+                "another attempt with this key is in progress",
                 run=RunState.UNKNOWN,
                 retry_after_seconds=RETRY_AFTER_STATE_SECONDS,
             )
--- a/packages/router/src/lacewingspar_router/components/caller_api/const.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/const.py
@@ -4,10 +4,9 @@
 PATH_MODELS = "/v1/models"
 PATH_SERVICES = "/services/"
 
-# Larger than any header that the protocol of a caller needs. It keeps a
-# caller from filling the memory of a router with headers.
+# Limits the memory that one caller can use for headers.
 MAX_HEADER_BYTES = 32 * 1024
-# A caller that stops sending its body would otherwise delay a drain.
+# Without this limit, a caller that stops sending its body would delay a drain.
 BODY_IDLE_SECONDS = 30.0
 MAX_DEADLINE_MS = 86_400_000
 MAX_COST_HINT_SLOT_SECONDS = 86_400.0
@@ -24,21 +23,23 @@
 RETRY_AFTER_FAILURE_SECONDS = 1.0
 RETRY_AFTER_CLAIM_SECONDS = 2.0
 
-# A refusal waits at most this long for the release of its claim, since refusals
-# are prompt. Without a confirmed release it says that the run is unknown.
+# Maximum delay of a refusal until the release of its claim is confirmed. If it
+# is not confirmed, the run state of the refusal is `unknown`.
 RELEASE_LIMIT_SECONDS = 1.0
 
-# A suspect that waits in the queue looks again after this time for upstreams
-# without other suspects.
+# Interval at which a queued suspect request checks again which upstreams are
+# free of other suspects.
 SUSPECT_QUEUE_SECONDS = 1.0
 
-# The claim stream keeps answers up to this size (section 8 of the design).
+# Largest response that is recorded in the claim stream (section 8 of the
+# design).
 MAX_KEPT_ANSWER_BYTES = 8 * 1024
 
 END_MARKER = b"data: [DONE]"
-# An event that is larger than this is passed on before it is complete.
+# A larger event is forwarded before it is complete.
 MAX_HELD_EVENT_BYTES = 1024 * 1024
-# The end of an answer that is searched for the end marker and token counts.
+# Length of the end of a response that is searched for the end marker and the
+# token counts.
 TAIL_BYTES = 4 * 1024
 
 KEPT_PATHS = 1000
--- a/packages/router/src/lacewingspar_router/components/caller_api/errors.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/errors.py
@@ -4,4 +4,4 @@
 
 
 class CallerGoneError(RouterError):
-    """The caller closed the connection before its request was complete."""
+    """The caller closed the connection before sending the whole request."""
--- a/packages/router/src/lacewingspar_router/components/caller_api/exchange.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with a caller."""
+"""HTTP exchange with a caller: one request and its response."""
 
 import asyncio
 import math
@@ -27,15 +27,15 @@
 
 
 class Exchange:
-    """Reads the request and writes the answer of one exchange.
+    """Reads the request and writes the response of one exchange.
 
     Attributes:
         request_id: Identity of the request.
-        trace_parent: `traceparent` value of the answer.
-        is_started: Whether the head of the answer was sent.
-        is_finished: Whether the whole answer was sent.
-        is_event_stream: Whether the answer is an event stream.
-        must_close: Whether the connection is closed after the answer.
+        trace_parent: `traceparent` header of the response.
+        is_started: Whether the response head was sent.
+        is_finished: Whether the whole response was sent.
+        is_event_stream: Whether the response is an event stream.
+        must_close: Whether the connection is closed after the response.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
         self.is_started = False
         self.is_finished = False
         self.is_event_stream = False
-        # The rest of a body that was not read would be taken for the next
-        # request.
+        # Until the whole body is read, the server would parse the rest of it
+        # as the next request.
         self.must_close = True
         self._receive = receive
         self._send = send
@@ -77,14 +77,14 @@
                 return parts[0] if len(parts) == 1 else b"".join(parts)
 
     async def async_wait_gone(self) -> None:
-        """Return when the caller has closed the connection."""
+        """Wait until the caller closes the connection."""
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
                 return
 
     async def async_send_head(self, status: int, headers: RawHeaders) -> None:
-        """Send the head of an answer."""
+        """Send the status and the headers of the response."""
         self.is_started = True
         added = [
             (REQUEST_ID_HEADER, self.request_id.encode()),
@@ -101,13 +101,13 @@
         )
 
     async def async_send_part(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         await self._send(
             {"type": "http.response.body", "body": data, "more_body": True}
         )
 
     async def async_finish(self, data: bytes = b"") -> None:
-        """Send the last part of the body."""
+        """Send the last chunk of the body."""
         self.is_finished = True
         await self._send(
             {"type": "http.response.body", "body": data, "more_body": False}
@@ -116,13 +116,13 @@
     async def async_answer(
         self, status: int, headers: RawHeaders, body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = (b"content-length", b"%d" % len(body))
         await self.async_send_head(status, [*headers, length])
         await self.async_finish(body)
 
     async def async_answer_json(self, status: int, value: Any) -> None:
-        """Send a whole answer with a JSON body."""
+        """Send a complete response with a JSON body."""
         await self.async_answer(
             status, [(b"content-type", _JSON)], msgspec.json.encode(value)
         )
@@ -139,10 +139,10 @@
         await self.async_answer(error.status, headers, body)
 
     async def async_interrupt(self, message: str) -> None:
-        """End an answer that broke after its head was sent.
+        """Abort a response whose head was already sent.
 
-        The caller gets an error event if it reads events. The missing end of
-        the transfer makes the server close the connection.
+        The caller of an event stream gets an error event. The body is not
+        finished, so the server closes the connection.
         """
         if not self.is_event_stream:
             return
@@ -164,7 +164,7 @@
             raise RequestRefusedError(
                 408,
                 "body_timeout",
-                f"no part of the body arrived for {BODY_IDLE_SECONDS:g} s",
+                f"no data of the body arrived for {BODY_IDLE_SECONDS:g} s",
             ) from error
         if message["type"] == "http.disconnect":
             raise CallerGoneError("the caller closed the connection")
@@ -172,7 +172,7 @@
 
 
 def refusal_value(error: RequestRefusedError, request_id: str) -> Any:
-    """Return the JSON value of a refusal."""
+    """Return the JSON body of a refusal."""
     return {
         "error": {
             "code": error.code,
--- a/packages/router/src/lacewingspar_router/components/caller_api/header_checks.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/header_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the headers of callers."""
+"""Validation of request headers."""
 
 import math
 
@@ -21,7 +21,7 @@
 
 
 def check_header_size(headers: RawHeaders) -> None:
-    """Refuse headers that are too large.
+    """Check the total size of the headers.
 
     Raises:
         RequestRefusedError: The headers are too large.
@@ -39,7 +39,7 @@
     """Return the bearer token.
 
     Raises:
-        RequestRefusedError: There is none.
+        RequestRefusedError: The headers have no bearer token.
     """
     value = header_value(headers, HEADER_AUTHORIZATION) or ""
     token = value[len(_BEARER) :].strip()
@@ -51,10 +51,10 @@
 
 
 def read_options(headers: RawHeaders) -> Options:
-    """Return the options that the headers carry.
+    """Parse the request options in the headers.
 
     Raises:
-        RequestRefusedError: An option has a value that is not allowed.
+        RequestRefusedError: The value of an option is invalid.
     """
     return Options(
         deadline_ms=_deadline_ms(header_value(headers, HEADER_DEADLINE)),
@@ -84,7 +84,7 @@
         hint = float(value)
     except ValueError:
         hint = math.nan
-    # The comparison is false for a value that is not a number.
+    # The comparison is false for NaN.
     if not 0 < hint <= MAX_COST_HINT_SLOT_SECONDS:
         raise RequestRefusedError(
             400,
--- a/packages/router/src/lacewingspar_router/components/caller_api/in_flight.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight and the paths of recent requests."""
+"""Requests in flight and the progress of recent requests."""
 
 import asyncio
 from collections import OrderedDict
@@ -24,22 +24,23 @@
 
 @dataclass(slots=True)
 class RequestTrack:
-    """Path of one request through this router.
+    """Progress of one request through this router.
 
     Attributes:
         request_id: Identity of the request.
         method: HTTP method.
-        target: Path as the caller wrote it, without query.
-        arrived_at: Arrival in seconds of the application's clock.
+        target: Path of the request URL, without the query.
+        arrived_at: Arrival time on the application's clock, in seconds.
         service: Name of the service, once known.
         workspace: Workspace of the caller, once known.
-        hops: Names of hops, their times in seconds of the application's
-            clock, and the upstream, if any.
-        state: State of the request chart.
-        run: What is known about the run of the request.
+        hops: Processing steps as (name, time on the application's clock in
+            seconds, upstream or "").
+        state: State in the request state chart.
+        run: Whether an upstream has run the request, as far as known.
         outcome: How the request ended, or "" while it is in flight.
-        is_cut: Whether the router ends the request before its answer.
-        outlives_caller: Whether the request runs on when the caller leaves.
+        is_cut: Whether a shutdown of the router cancelled the request.
+        outlives_caller: Whether the request continues if the caller
+            disconnects.
     """
 
     request_id: str
@@ -56,7 +57,7 @@
     outlives_caller: bool = False
 
     def as_json(self) -> dict[str, Any]:
-        """Return the path as JSON values, with times since arrival."""
+        """Return the progress as JSON values, with times since arrival."""
         return {
             "request_id": self.request_id,
             "method": self.method,
@@ -78,14 +79,14 @@
 
 
 class InFlight:
-    """Requests in flight at this router and the last ones that ended.
+    """Requests in flight at this router and recently finished ones.
 
     Args:
         now: Returns the time in seconds of the application's clock.
-        telemetry: Counters of this router.
+        telemetry: Metrics of this router.
 
     Attributes:
-        is_cut: Whether the router has ended the requests in flight.
+        is_cut: Whether a shutdown has cancelled the requests in flight.
     """
 
     def __init__(self, now: Callable[[], float], telemetry: Telemetry) -> None:
@@ -103,34 +104,34 @@
         return len(self._running)
 
     def enter(self, request_id: str, method: str, target: str) -> RequestTrack:
-        """Begin the path of a request that the current task handles."""
+        """Register a request that the current task handles."""
         track = RequestTrack(request_id, method, target, self._now())
         task = asyncio.current_task()
         if task is None:
-            raise RuntimeError("requests are handled in tasks")
+            raise RuntimeError("a request must be handled in an asyncio task")
         self._running[request_id] = (track, task)
         self._empty.clear()
         return track
 
     def keep(self, track: RequestTrack) -> None:
-        """Keep the path of a request that has passed the checks.
+        """Retain the progress of a valid request for later queries.
 
-        Requests without a valid token are not kept, so that they cannot push
-        the others out.
+        The number of retained requests is limited. Requests without a valid
+        token are not retained, so that they cannot displace others.
         """
         self._tracks[track.request_id] = track
         if len(self._tracks) > KEPT_PATHS:
             self._tracks.popitem(last=False)
 
     def hop(self, track: RequestTrack, name: str, upstream: str = "") -> None:
-        """Note that a request has reached a hop."""
+        """Record that a request has reached a processing step."""
         track.hops.append((name, self._now(), upstream))
 
     def apply(self, track: RequestTrack, event: str) -> None:
-        """Apply an event of the request chart.
+        """Apply an event to the state of a request.
 
-        An event without a transition is a fault of the router that does not
-        harm the request, so it is logged and counted.
+        An event without a transition is a bug in the router. It does not
+        affect the request, so it is only logged and counted.
         """
         try:
             track.state = _CHART.next_state(track.state, event)
@@ -145,7 +146,7 @@
             )
 
     def leave(self, track: RequestTrack, outcome: str) -> None:
-        """End the path of a request."""
+        """Record the outcome of a request that is no longer in flight."""
         track.outcome = outcome
         self.hop(track, "end")
         self._running.pop(track.request_id, None)
@@ -153,7 +154,7 @@
             self._empty.set()
 
     def path(self, request_id: str) -> dict[str, Any] | None:
-        """Return the path of a recent request as JSON values."""
+        """Return the progress of a recent request as JSON values, if retained."""
         track = self._tracks.get(request_id)
         return None if track is None else track.as_json()
 
@@ -162,7 +163,7 @@
         await self._empty.wait()
 
     async def async_cut(self) -> int:
-        """End all requests in flight, log each and return their number."""
+        """Cancel and log all requests in flight and return their number."""
         self.is_cut = True
         running = list(self._running.values())
         for track, task in running:
--- a/packages/router/src/lacewingspar_router/components/caller_api/models.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/models.py
@@ -6,17 +6,17 @@
 
 
 class CallerApi(Protocol):
-    """Requests of callers at this router."""
+    """Access to the requests of callers at this router."""
 
     @property
     def in_flight_count(self) -> int:
-        """Return the number of requests that have no complete answer yet."""
+        """Return the number of requests without a complete response."""
 
     def request_path(self, request_id: str) -> dict[str, Any] | None:
-        """Return the path of a recent request as JSON values."""
+        """Return the progress of a recent request as JSON values, if retained."""
 
     async def async_cut_requests(self) -> int:
-        """End all requests in flight, log each and return their number."""
+        """Cancel and log all requests in flight and return their number."""
 
 
 CALLER_API: ComponentKey[CallerApi] = ComponentKey("caller_api")
--- a/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
@@ -1,4 +1,4 @@
-"""ASGI application for all paths of callers."""
+"""ASGI application that handles all requests of callers."""
 
 import asyncio
 import uuid
@@ -47,7 +47,7 @@
 
 
 class CallerProxy:
-    """Answers the requests of callers.
+    """Handles the requests of callers.
 
     Args:
         application: The application that holds the other components.
@@ -62,7 +62,7 @@
         self._index = AccessIndex({})
 
     def apply_configuration(self) -> None:
-        """Take over the documents in force."""
+        """Update the access index and the retry budgets."""
         documents = self._configuration.documents_by_service
         self._index = AccessIndex(documents)
         self._calls.retries.keep_workspaces(
@@ -75,21 +75,21 @@
 
     @property
     def in_flight_count(self) -> int:
-        """Return the number of requests that have no complete answer yet."""
+        """Return the number of requests without a complete response."""
         return self.in_flight.count
 
     def request_path(self, request_id: str) -> dict[str, Any] | None:
-        """Return the path of a recent request as JSON values."""
+        """Return the progress of a recent request as JSON values, if retained."""
         return self.in_flight.path(request_id)
 
     async def async_cut_requests(self) -> int:
-        """End all requests in flight, log each and return their number."""
+        """Cancel and log all requests in flight and return their number."""
         return await self.in_flight.async_cut()
 
     async def async_handle(
         self, scope: Any, receive: Receive, send: Send
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope["type"] != "http":
             return
         exchange = Exchange(scope, receive, send, uuid.uuid4().hex)
@@ -119,7 +119,7 @@
     async def _async_answer(
         self, exchange: Exchange, track: RequestTrack
     ) -> str:
-        """Answer one request and return how it ended."""
+        """Respond to one request and return its outcome."""
         try:
             outcome = await self._async_checked(exchange, track)
             self.in_flight.apply(track, _end_event(track, outcome))
@@ -178,7 +178,7 @@
             watcher.cancel()
 
     def _check_state(self) -> None:
-        """Refuse requests while the router does not serve."""
+        """Raise a refusal unless the router serves requests."""
         life_cycle = self._application.life_cycle
         if life_cycle in (LifeCycle.DRAINING, LifeCycle.STOPPED):
             raise RequestRefusedError(
@@ -199,7 +199,7 @@
 async def _async_cancel_when_gone(
     exchange: Exchange, track: RequestTrack, task: asyncio.Task[Any] | None
 ) -> None:
-    """Cancel a request when its caller closes the connection."""
+    """Cancel a request when its caller disconnects."""
     await exchange.async_wait_gone()
     must_run_on = exchange.is_finished or track.outlives_caller
     if task is not None and not must_run_on:
@@ -207,14 +207,14 @@
 
 
 def _end_event(track: RequestTrack, outcome: str) -> str:
-    """Return the event of the request chart for the end of an answer."""
+    """Return the state chart event for the end of a response."""
     if track.state == "received":
         return "answer_here"
     return _EVENT_BY_OUTCOME.get(outcome, "answer_ended")
 
 
 def _refusal_event(track: RequestTrack) -> str:
-    """Return the event of the request chart for a refusal."""
+    """Return the state chart event for a refusal."""
     if track.state != "releasing":
         return "refuse"
     return "claim_released" if track.run is RunState.NOT_RUN else "fail"
--- a/packages/router/src/lacewingspar_router/components/caller_api/refusals.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of requests whose calls to upstreams failed."""
+"""Refusals of requests, by the error that caused them."""
 
 from lacewingspar_core.messages import SlotOutcome
 from lacewingspar_router.components.caller_api.const import (
@@ -38,14 +38,14 @@
 
 
 def slot_outcome(error: UpstreamError) -> SlotOutcome:
-    """Return how a failed call ended for the upstream."""
+    """Return the slot outcome of a failed call."""
     return _REASON_BY_ERROR.get(type(error), _OTHER_REASON)[2]
 
 
 def upstream_refusal(
     error: UpstreamError, retry_after_seconds: float
 ) -> RequestRefusedError:
-    """Return the refusal of a request whose last call failed."""
+    """Return the refusal of a request whose last attempt failed."""
     status, code, _ = _REASON_BY_ERROR.get(type(error), _OTHER_REASON)
     is_callers_fault = status == 400
     return RequestRefusedError(
@@ -58,7 +58,11 @@
 
 
 def quarantined(seconds: float) -> RequestRefusedError:
-    """Return the refusal of a request that crashes upstreams."""
+    """Return the refusal of a request that has crashed upstreams.
+
+    Args:
+        seconds: Time until the quarantine of the request ends.
+    """
     return RequestRefusedError(
         422,
         "quarantined",
@@ -68,7 +72,7 @@
 
 
 def suspect_deadline_passed() -> RequestRefusedError:
-    """Return the refusal of a suspect that found no upstream for itself."""
+    """Return the refusal of a suspect request that found no free upstream."""
     return RequestRefusedError(
         504,
         "deadline_passed",
@@ -78,28 +82,28 @@
 
 
 def claim_expired() -> RequestRefusedError:
-    """Return the refusal of a call whose claim ran out before sending."""
+    """Return the refusal of a call whose claim expired before sending."""
     return RequestRefusedError(
         503,
         "claim_expired",
-        "the call waited longer than its claim allows and was not sent",
+        "the claim expired while the call waited; the call was not sent",
         retry_after_seconds=RETRY_AFTER_CLAIM_SECONDS,
     )
 
 
 def router_stopped(run: RunState) -> RequestRefusedError:
-    """Return the refusal of a request that a shutdown cut."""
+    """Return the refusal of a request that a shutdown cancelled."""
     return RequestRefusedError(
         503,
         "router_stopped",
-        "this router stopped before the answer was complete",
+        "this router stopped before the response was complete",
         run=run,
         retry_after_seconds=RETRY_AFTER_STATE_SECONDS,
     )
 
 
 def internal_error(run: RunState) -> RequestRefusedError:
-    """Return the refusal of a request that failed in this router."""
+    """Return the refusal after an unexpected error in this router."""
     return RequestRefusedError(
-        500, "internal_error", "the router failed", run=run
+        500, "internal_error", "internal error of the router", run=run
     )
--- a/packages/router/src/lacewingspar_router/components/caller_api/requests.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers that have passed all checks."""
+"""Validated requests of callers."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Options that a caller gives in headers.
+    """Request options from the headers.
 
     Attributes:
-        deadline_ms: Time from arrival in milliseconds, or None.
+        deadline_ms: Deadline in milliseconds after arrival, or None.
         cost_hint: Expected slot-seconds, or None.
         request_class: Name of the request class, or None.
-        idempotency_key: Key of a call that runs at most once, or None.
+        idempotency_key: Idempotency key of an at-most-once call, or None.
     """
 
     deadline_ms: int | None
@@ -33,20 +33,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A request that may be queued.
+    """A validated request.
 
     Attributes:
         request_id: Identity of the request.
-        document: Document of its service.
+        document: Document of the service.
         workspace: Workspace of the caller.
         model: Model that the upstream must serve, or "" for any.
-        request_class: Name of the request's class.
-        arrived_at: Arrival in seconds of the application's clock.
-        deadline_at: Latest start of the answer on the same clock.
-        idempotency_key: Key of a call that runs at most once, or None.
+        request_class: Name of the request class.
+        arrived_at: Arrival time on the application's clock, in seconds.
+        deadline_at: Latest start of the response, on the same clock.
+        idempotency_key: Idempotency key of an at-most-once call, or None.
         repeatability: When the request may be sent again.
         method: HTTP method.
-        target: Path at the upstream with query string, as the caller wrote it.
+        target: Path and query string at the upstream, in the caller's spelling.
         headers: Headers for the upstream.
         body: Request body.
         trace_parent: `traceparent` value of the caller's span.
--- a/packages/router/src/lacewingspar_router/components/caller_api/retrying.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/retrying.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Attempts:
-    """Attempts of one request so far.
+    """Attempts made for one request.
 
     Attributes:
         sent: Number of attempts.
@@ -43,7 +43,7 @@
 
 
 class Retries:
-    """Decides on retries and waits before them.
+    """Decides whether to retry a request and waits before the retry.
 
     Args:
         application: The application that holds the other components.
@@ -55,21 +55,21 @@
         self._policy = RetryPolicy(application.random)
 
     def begin(self, request: CallerRequest) -> Attempts:
-        """Credit the budget of a workspace for a new request."""
+        """Credit the retry budget of the workspace and return no attempts."""
         self._policy.on_new_request(request.workspace.name)
         return Attempts()
 
     def keep_workspaces(self, names: Collection[str]) -> None:
-        """Forget the budgets of all other workspaces."""
+        """Remove the retry budgets of all other workspaces."""
         self._policy.keep_workspaces(names)
 
     async def async_wait(
         self, request: CallerRequest, attempts: Attempts, error: UpstreamError
     ) -> None:
-        """Wait until a request whose attempt has failed may be sent again.
+        """Wait until a failed request may be retried.
 
         Raises:
-            RequestRefusedError: The request is not sent again.
+            RequestRefusedError: The request is not retried.
         """
         decision = self._policy.decide(
             _failed_attempt(request, attempts, error),
@@ -78,7 +78,7 @@
         )
         if (
             isinstance(decision, GiveUp)
-            # The refusal of a request that would be too late is not delayed.
+            # Refuse at once if the retry would miss the deadline.
             or self._now() + decision.delay_seconds >= request.deadline_at
         ):
             raise upstream_refusal(
@@ -87,10 +87,10 @@
         await asyncio.sleep(decision.delay_seconds)
 
     def _retry_after_seconds(self, request: CallerRequest) -> float:
-        """Return when a refused caller should come back.
+        """Return the Retry-After value of a refusal.
 
-        The owners know the length of the queue, so this advice depends only
-        on whether an upstream takes new work.
+        Only the owners know the length of the queue, so the value depends only
+        on whether an upstream accepts new requests.
         """
         usable = upstreams_with_new_work(request, self._upstreams)
         return retry_after_seconds(0, len(usable), 0.0)
@@ -99,7 +99,7 @@
 def upstreams_with_new_work(
     request: CallerRequest, pool: UpstreamPool
 ) -> frozenset[str]:
-    """Return the upstreams that could serve a request now."""
+    """Return the upstreams that have the model and accept new requests."""
     service = request.document.service
     statuses = pool.status_by_upstream
     return frozenset(
@@ -111,7 +111,7 @@
 
 
 def _upstreams_of(request: CallerRequest) -> frozenset[str]:
-    """Return the upstreams that could serve a request."""
+    """Return the upstreams that have the model of a request."""
     return frozenset(
         upstream.id
         for upstream in request.document.upstreams
@@ -125,7 +125,7 @@
     repeatability = request.repeatability
     is_retried_if_not_run = (
         repeatability is not Repeatability.NEVER
-        # No upstream would accept the call.
+        # Every upstream connection would reject the call.
         and not isinstance(error, UpstreamInvalidCallError)
     )
     return FailedAttempt(
--- a/packages/router/src/lacewingspar_router/components/caller_api/slot_use.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/slot_use.py
@@ -1,4 +1,4 @@
-"""Use of one slot by one attempt."""
+"""Slot that is used for one attempt."""
 
 from lacewingspar_core.messages import SlotOutcome
 from lacewingspar_router.components.quarantine.models import UpstreamRun
@@ -9,15 +9,15 @@
 
 
 class SlotUse:
-    """Gives a slot back exactly once.
+    """Holds a slot and releases it exactly once.
 
     Args:
         scheduler: Scheduler that granted the slot.
         grant: The grant.
 
     Attributes:
-        upstream_id: Upstream that has the slot.
-        run: Run of the request that uses the slot.
+        upstream_id: Upstream of the slot.
+        run: Run of the request at the upstream, once it has begun.
     """
 
     def __init__(self, scheduler: SlotScheduler, grant: SlotGrant) -> None:
@@ -28,12 +28,12 @@
         self._is_released = False
 
     def release(self, outcome: SlotOutcome, tokens: int = 0) -> None:
-        """Give the slot back unless that was done before."""
+        """Release the slot, unless it is released already."""
         if self._is_released:
             return
         self._is_released = True
         self._scheduler.release(self._grant, outcome, tokens)
 
     def cancel(self) -> None:
-        """Give the slot back unused unless that was done before."""
+        """Release the slot as cancelled, unless it is released already."""
         self.release(SlotOutcome.CANCELLED)
--- a/packages/router/src/lacewingspar_router/components/caller_api/slot_wait.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/slot_wait.py
@@ -1,4 +1,4 @@
-"""Wait of a request for a slot that it may use."""
+"""Acquisition of slots with regard to the quarantine."""
 
 import asyncio
 
@@ -32,7 +32,7 @@
 
 
 class SlotWait:
-    """Gets slots for requests and keeps suspects apart.
+    """Acquires slots for requests and isolates suspect requests.
 
     Args:
         application: The application that holds the other components.
@@ -49,7 +49,7 @@
         """Check that a request is not in quarantine.
 
         Raises:
-            RequestRefusedError: It is.
+            RequestRefusedError: The request is in quarantine.
         """
         seconds = self._quarantine.refused_seconds(subject)
         if seconds > 0:
@@ -77,7 +77,7 @@
                 continue
             use = SlotUse(self._scheduler, grant)
             try:
-                # The wait may have been long.
+                # The request may have entered the quarantine during the wait.
                 self.check(subject)
                 use.run = await self._quarantine.async_begin(
                     subject, grant.upstream_id
@@ -95,14 +95,14 @@
         attempts: Attempts,
         deadline_at: float,
     ) -> SlotGrant | None:
-        """Return a slot, or None if the request has to be checked again."""
+        """Wait for a slot; return None if the request must be checked again."""
         excluded = frozenset(attempts.failed_upstreams)
         limit_seconds = None
         if self._quarantine.is_suspect(subject):
             excluded |= await self._async_busy_upstreams(
                 request, subject, excluded, deadline_at
             )
-            # Other upstreams may become free of suspects meanwhile.
+            # Other upstreams may become free of suspects during the wait.
             limit_seconds = SUSPECT_QUEUE_SECONDS
         try:
             async with asyncio.timeout(limit_seconds) as limit:
@@ -122,7 +122,7 @@
         failed: frozenset[str],
         deadline_at: float,
     ) -> frozenset[str]:
-        """Wait until a suspect may run and return what it must not use."""
+        """Wait until a suspect may run and return the excluded upstreams."""
 
         def usable() -> frozenset[str]:
             return upstreams_with_new_work(request, self._upstreams) - failed
@@ -135,11 +135,11 @@
             raise suspect_deadline_passed() from error
 
     def _end_quarantined_waits(self) -> None:
-        """End the waits of requests that are in quarantine now."""
+        """End the slot waits of requests that are now in quarantine."""
         now = asyncio.get_running_loop().time()
         for subject, limit in self._limit_by_subject.items():
             is_refused = self._quarantine.refused_seconds(subject) > 0
-            # A limit that has expired can no longer be changed.
+            # An expired timeout cannot be rescheduled.
             if is_refused and not limit.expired():
                 limit.reschedule(now)
 
--- a/packages/router/src/lacewingspar_router/components/caller_api/streaming.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/streaming.py
@@ -1,4 +1,4 @@
-"""Transfer of an upstream's answer to the caller."""
+"""Forwarding of an upstream's response to the caller."""
 
 from collections.abc import Callable
 
@@ -21,19 +21,19 @@
 from lacewingspar_router.http_headers import RawHeaders
 
 _EVENT_STREAM = "text/event-stream"
-# The router writes these itself.
+# The router sets these headers itself.
 _REPLACED_HEADERS = frozenset({"x-request-id", "traceparent", "date"})
 _STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
 
 class AnswerTransfer:
-    """Passes one answer on and checks that it is complete.
+    """Forwards one response and checks that it is complete.
 
     Args:
         request: The request.
-        exchange: Exchange with the caller.
-        answer: Answer of the upstream.
-        on_start: Called before the head is sent to the caller.
+        exchange: HTTP exchange with the caller.
+        answer: Response of the upstream.
+        on_start: Called before the response head is sent to the caller.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
 
     @property
     def tokens(self) -> int:
-        """Return the number of tokens that the upstream reported, or 0."""
+        """Return the token count that the upstream reported, or 0."""
         return self._tail.tokens if self._is_model else 0
 
     async def async_run(self) -> None:
-        """Pass on the whole body, but not its end.
+        """Forward the body without finishing the response.
 
         Raises:
             UpstreamError: The body is incomplete.
@@ -89,12 +89,12 @@
             await self._async_send(rest)
 
     async def async_finish(self) -> None:
-        """Send the end of the body."""
+        """Finish the response."""
         await self._async_send_head()
         await self._exchange.async_finish()
 
     def kept_answer(self) -> ClaimAnswered:
-        """Return the answer for later attempts of the same call."""
+        """Return the response to record for later attempts of the call."""
         body = None if self._kept is None else b"".join(self._kept)
         return ClaimAnswered(self._answer.status, self._content_type, body)
 
@@ -112,9 +112,9 @@
     def _head(self) -> RawHeaders:
         removed = _REPLACED_HEADERS
         if (
-            # An error event may follow, which would exceed the length.
+            # An error event may follow and exceed the content length.
             self._is_event_stream
-            # The length is that of a body which is not sent.
+            # No body is sent, so the length would be wrong.
             or self._answer.status in _STATUSES_WITHOUT_BODY
         ):
             removed = removed | {"content-length"}
--- a/packages/router/src/lacewingspar_router/components/caller_api/targets.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/targets.py
@@ -1,4 +1,4 @@
-"""Targets that callers may address."""
+"""Targets of requests."""
 
 import re
 from dataclasses import dataclass
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """What a request line addresses.
+    """Target of a request line.
 
     Attributes:
         method: HTTP method.
-        service: Name of the service, or None if the model determines it.
-        path: Path at the upstream without query, as the caller wrote it.
+        service: Name of the service, or None if it depends on the model.
+        path: Path at the upstream in the caller's spelling, without query.
         target: Path at the upstream with query string.
     """
 
@@ -36,21 +36,20 @@
 
     @property
     def is_model_list(self) -> bool:
-        """Return whether the caller asks for the list of models."""
+        """Return whether the caller requests the list of models."""
         return self.service is None and self.path == PATH_MODELS
 
     @property
     def has_model(self) -> bool:
-        """Return whether the body names a model, if the service has any."""
+        """Return whether the body of a model service's call names a model."""
         return self.path == PATH_CHAT and self.method == "POST"
 
 
 def read_target(scope: Any) -> Target:
-    """Return the target of a request.
+    """Parse the target of a request.
 
     Raises:
-        RequestRefusedError: There is nothing at this path, or not with this
-            method.
+        RequestRefusedError: The path is unknown or does not allow the method.
     """
     method = str(scope["method"])
     raw = bytes(scope.get("raw_path") or b"")
@@ -74,7 +73,7 @@
 def repeatability_of(
     document: ServiceDocument, target: Target
 ) -> Repeatability:
-    """Return when a call without a key may be sent again."""
+    """Return when a call without idempotency key may be sent again."""
     path = _SLASHES.sub("/", unquote(target.path))
     for route in document.non_idempotent:
         if route.method == target.method and path.startswith(route.path_prefix):
@@ -87,8 +86,8 @@
 
 
 def _target(method: str, service: str | None, path: str, query: str) -> Target:
-    # Upstreams resolve dot segments in different ways, so a path with one
-    # could reach a declared route without matching its prefix.
+    # Upstreams resolve dot segments in different ways, so a path with dot
+    # segments could reach a non-idempotent route without matching its prefix.
     if any(part in (".", "..") for part in unquote(path).split("/")):
         raise RequestRefusedError(
             400, "bad_path", "the path must not have dot segments"
