--- a/packages/router/src/lacewingspar_router/components/caller_api/claimed.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/claimed.py
@@ -114,7 +114,7 @@
         """Release the claim of a refused call that has not run.
 
         The run state of the refusal is `unknown` unless the release is
-        confirmed within RELEASE_LIMIT_SECONDS.
+        confirmed in time.
         """
         error.run = RunState.UNKNOWN
         task = self.release(claim, was_sent=was_sent)
--- a/packages/router/src/lacewingspar_router/components/caller_api/in_flight.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/in_flight.py
@@ -154,7 +154,7 @@
             self._empty.set()
 
     def path(self, request_id: str) -> dict[str, Any] | None:
-        """Return the progress of a recent request as JSON values, if retained."""
+        """Return the progress of a recent request as JSON, if retained."""
         track = self._tracks.get(request_id)
         return None if track is None else track.as_json()
 
--- a/packages/router/src/lacewingspar_router/components/caller_api/models.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/models.py
@@ -13,7 +13,7 @@
         """Return the number of requests without a complete response."""
 
     def request_path(self, request_id: str) -> dict[str, Any] | None:
-        """Return the progress of a recent request as JSON values, if retained."""
+        """Return the progress of a recent request as JSON, if retained."""
 
     async def async_cut_requests(self) -> int:
         """Cancel and log all requests in flight and return their number."""
--- a/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
@@ -79,7 +79,7 @@
         return self.in_flight.count
 
     def request_path(self, request_id: str) -> dict[str, Any] | None:
-        """Return the progress of a recent request as JSON values, if retained."""
+        """Return the progress of a recent request as JSON, if retained."""
         return self.in_flight.path(request_id)
 
     async def async_cut_requests(self) -> int:
--- a/packages/router/src/lacewingspar_router/components/caller_api/retrying.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/retrying.py
@@ -55,7 +55,7 @@
         self._policy = RetryPolicy(application.random)
 
     def begin(self, request: CallerRequest) -> Attempts:
-        """Credit the retry budget of the workspace and return no attempts."""
+        """Credit the workspace's retry budget and return an empty record."""
         self._policy.on_new_request(request.workspace.name)
         return Attempts()
 
@@ -125,7 +125,7 @@
     repeatability = request.repeatability
     is_retried_if_not_run = (
         repeatability is not Repeatability.NEVER
-        # Every upstream connection would reject the call.
+        # The call is not valid HTTP/1.1 for any upstream.
         and not isinstance(error, UpstreamInvalidCallError)
     )
     return FailedAttempt(
--- a/packages/router/src/lacewingspar_router/components/claims/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/claims/__init__.py
@@ -6,7 +6,10 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Start to follow the claim stream; new keys are refused until then."""
+    """Start to read the claim stream.
+
+    Claims of new keys are refused until the stream has been read to its end.
+    """
     registry = LogClaimRegistry(app)
     task = app.create_task(registry.async_read_log(), "claims reader")
     app.register(CLAIMS, registry)
--- a/packages/router/src/lacewingspar_router/components/claims/const.py
+++ b/packages/router/src/lacewingspar_router/components/claims/const.py
@@ -1,15 +1,16 @@
 """Constants of the claims component."""
 
-# Time that a read waits at the log service.
+# Time that the log service delays a read if there is no new record.
 LONG_POLL_SECONDS = 5.0
-# Pause after a failed read or append, so that an outage causes few requests.
+# Delay after a failed read or append, which limits the request rate during an
+# outage.
 RETRY_SECONDS = 0.5
-# Longest wait for a claim to be read back; half of the time within which it
-# may be used, so that a granted claim is of use.
+# Longest wait until a claim is read back. Half of the time within which a claim
+# may be used, so that enough time is left to send the call.
 CLAIM_TIMEOUT_SECONDS = 5.0
-# Longest wait for a release to be read back before the caller is answered.
+# Longest wait until a release is read back.
 RELEASE_TIMEOUT_SECONDS = 5.0
-# Longest time that a stopping router waits for its outcomes to be written.
+# Longest wait of a stopping router until its outcomes and releases are written.
 FLUSH_TIMEOUT_SECONDS = 5.0
 
 METRIC_CLAIMS = "claims"
--- a/packages/router/src/lacewingspar_router/components/claims/models.py
+++ b/packages/router/src/lacewingspar_router/components/claims/models.py
@@ -11,9 +11,9 @@
     """This router may send the call once.
 
     Attributes:
-        claim_offset: Offset of the claim's record.
-        send_before: Latest time of sending, in seconds of the application's
-            clock.
+        claim_offset: Offset of the claim record in the claim stream.
+        send_before: Latest time to send the call, on the application's
+            clock in seconds.
     """
 
     claim_offset: int
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswered:
-    """The call has run; this is its first answer.
+    """The call has run and its first response is recorded.
 
     Attributes:
-        status: HTTP status code of the first answer.
-        content_type: Content type of the first answer.
-        body: Body of the first answer, or None if it was too large to keep.
+        status: HTTP status code of the response.
+        content_type: Content type of the response.
+        body: Body of the response, or None if it was too large to record.
     """
 
     status: int
@@ -37,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimInProgress:
-    """Another attempt of the call is under way."""
+    """Another attempt of the call is in progress."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimUnknown:
-    """Another attempt may or may not have run, and nobody can tell."""
+    """Another attempt may have run; its router stopped without an outcome."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimKeyReused:
-    """The key was used for a call with another body."""
+    """The key was used for a call with another method, path or body."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,46 +72,47 @@
 
 
 class ClaimRegistry(Protocol):
-    """Claims of non-idempotent calls."""
+    """At-most-once claims of non-idempotent calls."""
 
     async def async_claim(
         self, *, service: str, workspace: str, key: str, digest: bytes
     ) -> ClaimDecision:
-        """Claim a key for one call.
+        """Claim an idempotency key for one call.
 
         Args:
             service: Name of the service.
-            workspace: Workspace of the caller; keys of different workspaces
-                are different.
+            workspace: Workspace of the caller; each workspace has its own key
+                namespace.
             key: Value of `Idempotency-Key`.
             digest: Digest of method, path and body.
         """
 
     def may_send(self, claim: ClaimGranted) -> bool:
-        """Return whether the claim's time has not run out, and use it up.
+        """Consume a claim and return whether the call may be sent now.
 
-        It returns true at most once for a claim.
+        The result is true at most once for a claim, and never after the claim
+        has expired.
         """
 
     async def async_release(
         self, claim: ClaimGranted, *, was_sent: bool = False
     ) -> bool:
-        """Give a claim up whose call has certainly not run.
+        """Release a claim whose call has certainly not run.
 
         Args:
             claim: The claim.
-            was_sent: Whether `may_send` has allowed the call, whose sending
-                then failed before the upstream ran it.
+            was_sent: Whether `may_send` returned true for the claim and the
+                call then failed before the upstream ran it.
 
         Returns:
-            Whether the release has been read back, so that "not run" is true
-            for the key and it may be claimed again.
+            Whether the release has been read back, so that the key may be
+            claimed again.
         """
 
     def record_outcome(
         self, claim: ClaimGranted, answer: ClaimAnswered
     ) -> None:
-        """Record the first answer for later attempts, in the background."""
+        """Record the first response for later attempts, in the background."""
 
 
 CLAIMS: ComponentKey[ClaimRegistry] = ComponentKey("claims")
--- a/packages/router/src/lacewingspar_router/components/claims/registry.py
+++ b/packages/router/src/lacewingspar_router/components/claims/registry.py
@@ -1,4 +1,4 @@
-"""Claims of non-idempotent calls in the claim stream."""
+"""Claim registry on top of the claim stream of the log service."""
 
 import asyncio
 import time
@@ -66,13 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _WaitingClaim:
-    """A claim that has not been read back.
+    """A claim of this router that has not been read back.
 
     Attributes:
-        appended_at: Time before the append, in seconds of the application's
-            clock.
-        key_time_ms: Time in the caller's key, if any.
-        decision: Set when the claim is read back or certainly not written.
+        appended_at: Time before the append on the application's clock, in
+            seconds.
+        key_time_ms: Timestamp within the caller's key, if any.
+        decision: Set when the claim is read back or was certainly not written.
     """
 
     appended_at: float
@@ -81,7 +81,7 @@
 
 
 class LogClaimRegistry:
-    """Claims that are decided by the order of the claim stream.
+    """Decides claims by the order of their records in the claim stream.
 
     Args:
         app: Application with the log service and the peers.
@@ -103,7 +103,7 @@
     async def async_claim(
         self, *, service: str, workspace: str, key: str, digest: bytes
     ) -> ClaimDecision:
-        """Claim a key for one call."""
+        """Claim an idempotency key for one call."""
         scoped_key = claim_key(service, workspace, key)
         decision = self._decide_without_claim(scoped_key, key, digest)
         if decision is None:
@@ -114,17 +114,18 @@
         return decision
 
     def may_send(self, claim: ClaimGranted) -> bool:
-        """Return whether the claim's time has not run out, and use it up."""
+        """Consume a claim and return whether the call may be sent now."""
         own = self._unsent_by_offset.pop(claim.claim_offset, None)
         return own is not None and may_send(self._state, own, self._app.now())
 
     async def async_release(
         self, claim: ClaimGranted, *, was_sent: bool = False
     ) -> bool:
-        """Give a claim up whose call has certainly not run.
+        """Release a claim whose call has certainly not run.
 
-        A claim that `may_send` has allowed to be sent is released only if
-        `was_sent` says that the caller of this method knows of the sending.
+        After `may_send` has consumed the claim, it is released only with
+        `was_sent`, by which the caller of this method confirms that the call
+        did not run.
         """
         offset = claim.claim_offset
         is_unsent = self._unsent_by_offset.pop(offset, None) is not None
@@ -137,7 +138,7 @@
     def record_outcome(
         self, claim: ClaimGranted, answer: ClaimAnswered
     ) -> None:
-        """Record the first answer for later attempts, in the background."""
+        """Record the first response for later attempts, in the background."""
         offset = claim.claim_offset
         body = answer.body
         if body is not None and len(body) > OUTCOME_BODY_BYTES:
@@ -151,9 +152,9 @@
         )
 
     async def async_read_log(self) -> None:
-        """Follow the stream for ever."""
+        """Read the claim stream until cancelled."""
         while True:
-            # The first read asks only where the stream ends.
+            # The first read must return at once to learn the end of the stream.
             wait_seconds = LONG_POLL_SECONDS if self._is_current else 0.0
             try:
                 page = await self._log.async_read(
@@ -163,27 +164,32 @@
                 )
             except LogUnavailableError as error:
                 if self._is_current:
-                    _LOGGER.warning("claims unreadable", error=str(error))
+                    _LOGGER.warning(
+                        "cannot read claim stream", error=str(error)
+                    )
                 self._is_current = False
                 await asyncio.sleep(RETRY_SECONDS)
             else:
                 await self._async_add_page(page)
 
     async def async_unload(self) -> None:
-        """Wait for outcomes and releases that are not written yet."""
+        """Wait until pending outcomes and releases are written."""
         if self._writers:
             await asyncio.wait(self._writers, timeout=FLUSH_TIMEOUT_SECONDS)
         if self._writers:
-            _LOGGER.warning("claims not settled", count=len(self._writers))
+            _LOGGER.warning(
+                "outcomes or releases not written before shutdown",
+                count=len(self._writers),
+            )
 
     def _decide_without_claim(
         self, scoped_key: bytes, key: str, digest: bytes
     ) -> ClaimDecision | None:
-        """Return the decision on a key that needs no claim of its own."""
+        """Return the decision on a key, or None if it needs a new claim."""
         entry = self._state.entry_of(scoped_key)
         if entry is not None:
             return self._answer(entry, digest)
-        # The log's time counts too, in case this router's clock is behind.
+        # The newest record is a lower bound if this router's clock is slow.
         now_ms = max(int(time.time() * 1000), self._state.newest_ms)
         if not self._is_current:
             return ClaimUnavailable()
@@ -192,7 +198,7 @@
         return None
 
     def _answer(self, entry: ClaimEntry, digest: bytes) -> ClaimDecision:
-        """Return the decision on another attempt of a claimed key."""
+        """Return the decision on another attempt with a claimed key."""
         if entry.claim.digest != digest:
             return ClaimKeyReused()
         outcome = entry.outcome
@@ -224,7 +230,7 @@
             await asyncio.wait({future}, timeout=CLAIM_TIMEOUT_SECONDS)
             is_answered = True
         finally:
-            # From here on the reader releases the claim when it appears.
+            # If the claim is read back later, the reader now releases it.
             self._waiting_by_sequence.pop(sequence, None)
             if not is_answered and future.done():
                 self._release_granted(future.result())
@@ -239,13 +245,13 @@
             if not decision.done():
                 decision.set_result(ClaimUnavailable())
         except LogAppendUnknownError as error:
-            _LOGGER.warning("claim reply lost", error=str(error))
+            _LOGGER.warning("response to claim append lost", error=str(error))
 
     async def _async_add_page(self, page: LogPage) -> None:
         try:
             self._add_page(page)
         except RecordGapError as error:
-            _LOGGER.error("claim records are missing", error=str(error))
+            _LOGGER.error("gap in claim stream", error=str(error))
             self._is_current = False
             await asyncio.sleep(RETRY_SECONDS)
 
@@ -269,7 +275,10 @@
             self._settle_own_claim(stored.offset, record)
 
     def _settle_own_claim(self, offset: int, claim: Claim) -> None:
-        """Decide on a claim of this router that has been read back."""
+        """Decide a claim of this router that was read back.
+
+        A claim that lost, or whose caller no longer waits, is released.
+        """
         entry = self._state.entry_at(offset)
         waiting = self._waiting_by_sequence.pop(claim.sequence, None)
         is_wanted = waiting is not None and not waiting.decision.done()
@@ -289,7 +298,7 @@
         waiting.decision.set_result(self._answer(holder, claim.digest))
 
     def _release_granted(self, decision: ClaimDecision) -> None:
-        """Release a claim that was granted to a caller who has gone."""
+        """Release a claim that was granted after its request was cancelled."""
         if not isinstance(decision, ClaimGranted):
             return
         if self._unsent_by_offset.pop(decision.claim_offset, None):
@@ -314,15 +323,18 @@
     async def _async_write(
         self, record: bytes, is_settled: Callable[[], bool]
     ) -> None:
-        """Append a record until its effect is read back.
+        """Append a record repeatedly until its effect is read back.
 
-        Only the first of several equal releases or outcomes has an effect.
+        Repeats are safe because only the first of several equal releases or
+        outcomes has an effect.
         """
         while not is_settled():
             try:
                 await self._log.async_append(STREAM_CLAIMS, [record])
             except LogServiceError as error:
-                _LOGGER.warning("claim not settled yet", error=str(error))
+                _LOGGER.warning(
+                    "outcome or release not written, retrying", error=str(error)
+                )
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
             deadline = self._app.now() + LONG_POLL_SECONDS
--- a/packages/router/src/lacewingspar_router/components/configuration/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Service documents in force at this router."""
+"""Active service documents at this router."""
 
 from lacewingspar_core.messages import LogRecords, LogRecordsRequest
 from lacewingspar_router.application import Application
@@ -10,7 +10,7 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Start to follow the configuration; it is ready some time later."""
+    """Start to read the configuration; the store becomes ready later."""
     store = LogConfigurationStore(app)
     peers = app.get(PEERS)
     peers.subscribe(LogRecords, store.handle_records)
--- a/packages/router/src/lacewingspar_router/components/configuration/errors.py
+++ b/packages/router/src/lacewingspar_router/components/configuration/errors.py
@@ -9,10 +9,10 @@
 
 
 class InvalidDocumentError(ConfigurationError):
-    """A document that was to be published does not pass the schema.
+    """A document to publish is not valid under the schema.
 
     Attributes:
-        problems: Every problem of the document.
+        problems: All problems of the document.
     """
 
     def __init__(self, problems: tuple[DocumentProblem, ...]) -> None:
--- a/packages/router/src/lacewingspar_router/components/configuration/models.py
+++ b/packages/router/src/lacewingspar_router/components/configuration/models.py
@@ -13,9 +13,9 @@
     """An accepted edit of a service.
 
     Attributes:
-        version: Version that it made.
-        edit_id: Identity of the edit.
-        author: Who made it.
+        version: Document version that the edit created.
+        edit_id: Id of the edit.
+        author: Author of the edit.
     """
 
     version: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishAccepted:
-    """The edit is in force.
+    """The edit was accepted and is active.
 
     Attributes:
         version: New version of the service's document.
@@ -36,12 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishConflict:
-    """Another edit came first.
+    """The edit was rejected because another edit came first.
 
     Attributes:
-        current_version: Version that is in force.
-        other_edit_id: The edit that made this version.
-        other_author: Who made that edit.
+        current_version: Active version.
+        other_edit_id: Id of the edit that created this version.
+        other_author: Author of that edit.
     """
 
     current_version: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishUnknown:
-    """It is not known whether the edit was appended; ask again by its id."""
+    """The edit may or may not be appended; publish it again with its id."""
 
     edit_id: str
 
@@ -60,29 +60,29 @@
 
 
 class ConfigurationStore(Protocol):
-    """Service documents in force at this router."""
+    """Active service documents at this router."""
 
     @property
     def documents_by_service(self) -> Mapping[str, ServiceDocument]:
-        """Return the documents in force."""
+        """Return the active documents by service."""
 
     @property
     def version_by_service(self) -> Mapping[str, int]:
-        """Return the versions in force."""
+        """Return the active versions by service."""
 
     @property
     def is_ready(self) -> bool:
-        """Return whether a configuration is known."""
+        """Return whether the configuration was loaded."""
 
     @property
     def applied_offset(self) -> int:
-        """Return the first offset that has not been applied."""
+        """Return the offset of the next record to apply."""
 
     def history(self, service: str) -> Sequence[KnownEdit]:
-        """Return the accepted edits of a service that are kept."""
+        """Return the retained accepted edits of a service."""
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change of the documents in force."""
+        """Register a function that is called after every document change."""
 
     async def async_publish(
         self,
@@ -96,11 +96,11 @@
         """Publish a new document of a service.
 
         Args:
-            edit_id: Identity of the edit; a repeat with the same id is safe.
+            edit_id: Id of the edit; a repeat with the same id is idempotent.
             service: Name of the service.
             base_version: Version that the edit is based on, 0 for none.
-            document: The whole new document as JSON values.
-            author: Who makes the edit.
+            document: The complete new document as JSON values.
+            author: Author of the edit.
         """
 
 
--- a/packages/router/src/lacewingspar_router/components/configuration/store.py
+++ b/packages/router/src/lacewingspar_router/components/configuration/store.py
@@ -1,4 +1,4 @@
-"""Service documents in force, read from the configuration stream."""
+"""Configuration store that reads the configuration stream."""
 
 import asyncio
 import time
@@ -66,7 +66,7 @@
 
 
 class LogConfigurationStore:
-    """Configuration that follows the log, or peers while the log is down.
+    """Follows the configuration stream, or peers while the log is down.
 
     Args:
         app: Application with the log service and the peers.
@@ -89,7 +89,7 @@
 
     @property
     def documents_by_service(self) -> Mapping[str, ServiceDocument]:
-        """Return the documents in force."""
+        """Return the active documents by service."""
         return {
             name: config.document
             for name, config in self._state.service_by_name.items()
@@ -97,7 +97,7 @@
 
     @property
     def version_by_service(self) -> Mapping[str, int]:
-        """Return the versions in force."""
+        """Return the active versions by service."""
         return {
             name: config.version
             for name, config in self._state.service_by_name.items()
@@ -105,18 +105,18 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether a configuration is known."""
+        """Return whether the configuration was loaded."""
         return self._is_ready
 
     @property
     def applied_offset(self) -> int:
-        """Return the first offset that has not been applied."""
+        """Return the offset of the next record to apply."""
         return self._replica.applied_offset
 
     def history(self, service: str) -> list[KnownEdit]:
-        """Return the accepted edits of a service that are kept, oldest first.
+        """Return the retained accepted edits of a service, oldest first.
 
-        The last 1,024 edits of all services are kept.
+        The last 1,024 edits of all services are retained.
         """
         return [
             KnownEdit(edit.version, edit.edit_id, edit.author)
@@ -129,7 +129,7 @@
         return self._replica.state or ConfigState()
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change of the documents in force."""
+        """Register a function that is called after every document change."""
         self._listeners.append(listener)
 
     async def async_publish(
@@ -144,11 +144,11 @@
         """Publish a new document of a service.
 
         Raises:
-            InvalidDocumentError: The document does not pass the schema.
+            InvalidDocumentError: The document is not valid under the schema.
         """
         _check_document(service, document)
         deadline = self._app.now() + PUBLISH_TIMEOUT_SECONDS
-        # A base version that this router does not know yet may be on its way.
+        # This router may not have received the base version yet.
         await self._async_wait_for(
             lambda: self._state.version_of(service) >= base_version, deadline
         )
@@ -167,9 +167,9 @@
                 return PublishUnknown(edit_id)
 
     async def async_read_log(self) -> None:
-        """Follow the stream for ever."""
+        """Read the configuration stream until cancelled."""
         while True:
-            # The first read asks only where the stream ends.
+            # The first read must return at once to learn the end of the stream.
             wait_seconds = LONG_POLL_SECONDS if self._is_log_readable else 0.0
             try:
                 page = await self._log.async_read(
@@ -180,7 +180,7 @@
             except LogUnavailableError as error:
                 if self._is_log_readable:
                     _LOGGER.warning(
-                        "configuration unreadable", error=str(error)
+                        "cannot read configuration stream", error=str(error)
                     )
                 self._is_log_readable = False
                 await asyncio.sleep(READ_RETRY_SECONDS)
@@ -189,7 +189,7 @@
                 self._add_page(page)
 
     async def async_exchange(self) -> None:
-        """Exchange records with peers and write snapshots for ever."""
+        """Exchange records with peers and write snapshots until cancelled."""
         while True:
             self._ask_peers()
             self._pass_records_on()
@@ -201,7 +201,7 @@
             await asyncio.sleep(PEER_EXCHANGE_SECONDS)
 
     def handle_records(self, received: ReceivedMessage) -> None:
-        """Apply records that a peer passed on."""
+        """Apply records that a peer sent."""
         message = received.message
         if not isinstance(message, LogRecords):
             return
@@ -212,7 +212,7 @@
             self._set_ready()
 
     def handle_request(self, received: ReceivedMessage) -> None:
-        """Answer a peer that asks for records."""
+        """Send records to a peer that requested them."""
         message = received.message
         if not isinstance(message, LogRecordsRequest):
             return
@@ -242,11 +242,15 @@
     def _set_ready(self) -> None:
         if not self._is_ready:
             self._is_ready = True
-            _LOGGER.info("configuration known", offset=self.applied_offset)
+            _LOGGER.info("configuration loaded", offset=self.applied_offset)
             self._notify_waiters()
 
     def _ask_peers(self) -> None:
-        """Ask one peer here and one elsewhere for records that are missing."""
+        """Request records from one local peer and one of another data centre.
+
+        Does so only if the log is unreadable, or if this router is behind a
+        peer and has applied nothing since the last exchange.
+        """
         alive = dict(self._peers.alive_by_router_id)
         alive.pop(self._app.life.router_id, None)
         newest = max((m.applied_offset for m in alive.values()), default=0)
@@ -272,9 +276,9 @@
                 )
 
     def _pass_records_on(self) -> None:
-        """Send records to peers that were behind at the last exchange too.
+        """Send records to peers behind this router's last exchange offset.
 
-        A router that starts reports 0 and asks for itself.
+        A starting router reports offset 0 and requests the records itself.
         """
         alive = self._peers.alive_by_router_id
         own_id = self._app.life.router_id
@@ -293,8 +297,9 @@
         for router_id, member in alive.items():
             if router_id == own_id or not 0 < member.applied_offset < offset:
                 continue
-            # A data centre with a current router helps itself: ranking all
-            # routers for each one that is behind takes 17 ms at 390 routers.
+            # The routers of a data centre with an up-to-date router update each
+            # other. Ranking the whole fleet for each router that is behind
+            # takes 17 ms at 390 routers.
             if member.data_centre == own_data_centre:
                 candidates = local
             elif member.data_centre in current_by_data_centre:
@@ -334,13 +339,15 @@
         return delay <= 0
 
     async def _async_write_snapshot(self) -> None:
-        """Append a snapshot and wait until it is read back."""
+        """Append a snapshot and wait until a newer one is read back."""
         before = self._replica.snapshot_time_ms
         record = encode_record(make_snapshot(self._state))
         try:
             await self._log.async_append(STREAM_CONFIGURATION, [record])
         except LogServiceError as error:
-            _LOGGER.warning("snapshot not written", error=str(error))
+            _LOGGER.warning(
+                "cannot write configuration snapshot", error=str(error)
+            )
         else:
             self._telemetry.count(METRIC_SNAPSHOTS)
         await self._async_wait_for(
@@ -357,7 +364,7 @@
         author: str,
         deadline: float,
     ) -> EditAccepted | EditConflict | None:
-        """Append an edit and wait until readers decide on it."""
+        """Append an edit and wait until its outcome is read back."""
         config = self._state.service_by_name.get(service)
         patch = make_patch(config.value if config else {}, dict(document))
         edit = Edit(edit_id, service, base_version, patch, author)
@@ -369,7 +376,9 @@
             return None
         except LogAppendUnknownError as error:
             _LOGGER.warning(
-                "edit reply lost", edit_id=edit_id, error=str(error)
+                "response to edit append lost",
+                edit_id=edit_id,
+                error=str(error),
             )
 
         def outcome() -> EditAccepted | EditConflict | None:
@@ -385,7 +394,7 @@
     async def _async_wait_for(
         self, condition: Callable[[], bool], deadline: float
     ) -> None:
-        """Wait until a condition on the state holds or the time is over."""
+        """Wait until a condition on the state holds or the deadline passes."""
         while not condition():
             remaining = deadline - self._app.now()
             try:
--- a/packages/router/src/lacewingspar_router/components/scheduler/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""Fair hand-out of slots over the whole fleet."""
+"""Fair scheduling of upstream slots across the fleet."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Set up the scheduler and start its periodic work."""
+    """Set up the scheduler and start its periodic tasks."""
     recorder = None
     if app.settings.event_record_file is not None:
         header = TraceHeader(app.life, app.settings.data_centre)
--- a/packages/router/src/lacewingspar_router/components/scheduler/counters_schedule.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/counters_schedule.py
@@ -1,4 +1,4 @@
-"""When an owner publishes its counters next."""
+"""Schedule of the counter messages of an owner."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -11,8 +11,8 @@
     """Times of the next counter messages of one service.
 
     Attributes:
-        next_at: Time of the next changed counters, in seconds.
-        next_full_at: Time of the next message with all counters.
+        next_at: Time of the next message with changed counters, in seconds.
+        next_full_at: Time of the next message with all counters, in seconds.
     """
 
     next_at: float
@@ -31,7 +31,7 @@
         """Return the schedule after a publication.
 
         The interval grows with the bytes sent, so that the counters of all
-        services together stay within their share of the control budget.
+        services together stay within COUNTERS_BYTES_PER_SECOND.
 
         Args:
             now: Time in seconds.
--- a/packages/router/src/lacewingspar_router/components/scheduler/demand_sender.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/demand_sender.py
@@ -1,4 +1,4 @@
-"""Tells the owners of a service which requests wait at this router."""
+"""Sends the demand of a service at this router to the slot owners."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,19 +9,20 @@
 
 SendFunction = Callable[[str, AnyPeerMessage], int]
 
-# Above this many waiting requests, a change of less than a quarter is not
-# told to the owners at once, since it would not change their choice.
+# From this many waiting requests on, a change of less than a quarter is left to
+# the next full message, since it would not affect the owners' decisions.
 _SMALL_QUEUE = 4
 
 
 class DemandSender:
-    """Sends changed demand at once and all demand now and then.
+    """Sends changes of the demand at once and the full demand periodically.
 
     Args:
         now: Returns the time in seconds.
         service: Name of the service.
-        queue: Requests that wait.
-        send: Sends a message to a router by its id and returns its bytes.
+        queue: Waiting requests.
+        send: Sends a message to a router by its id and returns its size in
+            bytes.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def set_receivers(self, receivers: frozenset[str]) -> None:
-        """Set the owners, and tell former ones that nothing waits."""
+        """Set the owners and report no demand to former owners."""
         former = self._receivers - receivers
         self._receivers = receivers
         for router_id in former:
@@ -51,7 +52,7 @@
         self.send_full()
 
     def changed(self) -> None:
-        """Tell the owners soon, and at once if that is not too often."""
+        """Send changes as soon as DEMAND_INTERVAL_SECONDS allows."""
         if self._timer is not None:
             return
         elapsed = self._now() - self._sent_at
@@ -64,12 +65,12 @@
         )
 
     def send_full_if_due(self) -> None:
-        """Tell the owners everything that waits, if that is due."""
+        """Send the full demand to the owners if it is due."""
         if self._now() >= self._full_due_at:
             self.send_full()
 
     def send_full(self) -> None:
-        """Tell the owners everything that waits."""
+        """Send the full demand to the owners."""
         entries = self._queue.demand(self._now())
         self._waiting_told = {
             (entry.workspace, entry.model): entry.waiting for entry in entries
@@ -81,16 +82,20 @@
         )
 
     def note_accepted(self, request: WaitingRequest) -> None:
-        """Count what the only owner learns from an accepted offer."""
+        """Update the reported demand after an accepted offer.
+
+        A single owner subtracts the request itself. With several owners, the
+        others still need a demand message.
+        """
         if len(self._receivers) != 1:
             return
         key = (request.workspace, request.model)
         self._waiting_told[key] = max(0, self._waiting_told.get(key, 0) - 1)
 
     def note_declined(self, workspace: str) -> None:
-        """Tell the demand of a workspace again after a while.
+        """Schedule the demand of a workspace to be sent again.
 
-        After a declined offer the owner takes it for zero.
+        The owner assumes no demand of the workspace after a declined offer.
         """
         for key in self._waiting_told:
             if key[0] == workspace:
@@ -131,14 +136,14 @@
         return Demand(self._service, self._sequence, full, entries)
 
     def _broadcast(self, demand: Demand) -> int:
-        """Send a message to all owners and return the bytes sent."""
+        """Send a message to all owners and return the number of bytes sent."""
         return sum(
             self._send(router_id, demand) for router_id in self._receivers
         )
 
 
 def _is_worth_telling(told: int, waiting: int) -> bool:
-    """Return whether owners should hear of a change before the next report."""
+    """Return whether a change must be sent before the next full message."""
     change = abs(waiting - told)
     if min(told, waiting) < _SMALL_QUEUE:
         return change > 0
--- a/packages/router/src/lacewingspar_router/components/scheduler/errors.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/errors.py
@@ -12,7 +12,7 @@
 
 
 def refused_error(refusal: Refusal) -> RequestRefusedError:
-    """Return the answer to a request that was refused before it was sent."""
+    """Return the error of a request that the queue has refused."""
     status, message = _STATUS_AND_MESSAGE_BY_CODE[refusal.code]
     return RequestRefusedError(
         status,
--- a/packages/router/src/lacewingspar_router/components/scheduler/event_recorder.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/event_recorder.py
@@ -1,4 +1,4 @@
-"""Recording of the slot owners' events and decisions for replay."""
+"""Recording of slot owner events and decisions for replay."""
 
 import queue
 import threading
@@ -10,19 +10,20 @@
 from lacewingspar_core.events import OwnerAction, OwnerEvent
 from lacewingspar_core.replay import TraceHeader, TraceStep
 
-# Steps that wait to be written; a recording that falls further behind ends,
-# because a trace with gaps cannot be replayed.
+# Maximum number of steps that wait to be written. If the writer falls further
+# behind, the recording ends, because a trace with gaps cannot be replayed.
 _QUEUE_STEPS = 100_000
 
 
 class EventRecorder:
     """Appends events and decisions to a file as JSON lines.
 
-    A thread writes, so that a slow disk does not delay requests.
+    A separate thread writes the file, so that a slow disk does not delay
+    requests.
 
     Args:
         path: File to append to.
-        header: First line.
+        header: Header, written as the first line.
     """
 
     def __init__(self, path: Path, header: TraceHeader) -> None:
@@ -43,12 +44,12 @@
         event: OwnerEvent,
         actions: Sequence[OwnerAction],
     ) -> None:
-        """Record one event and what the slot owner decided."""
+        """Record one event and the resulting actions of the slot owner."""
         step = TraceStep(service, now, event, tuple(actions))
         self._put(self._encoder.encode(step))
 
     async def async_close(self) -> None:
-        """Write what waits and close the file."""
+        """Write the queued lines and close the file."""
         self._is_open = False
         self._lines.put(None)
         self._thread.join()
--- a/packages/router/src/lacewingspar_router/components/scheduler/holder.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/holder.py
@@ -1,4 +1,8 @@
-"""Holder role: requests of one service that wait at this router."""
+"""Queue of one service at the ingress router.
+
+The ingress router has the callers' connections. It queues their requests and
+assigns them to slots that slot owners offer.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -35,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _ActiveUse:
-    """Use of a slot by one request after the other.
+    """A slot in use, by one request after another.
 
     Attributes:
-        grant: Grant of the request that runs now.
-        offered_at: Time at which the first request was bound, in seconds.
-        requests: Number of requests bound so far.
-        estimate_seconds: Estimated cost of the request that runs now.
+        grant: Grant of the current request.
+        offered_at: Time at which the first request was assigned, in seconds.
+        requests: Number of requests assigned so far.
+        estimate_seconds: Estimated slot time of the current request.
     """
 
     grant: SlotGrant
@@ -51,10 +55,10 @@
 
 
 class Holder:
-    """Queues requests of one service and binds them to offered slots.
+    """Queues requests of one service and assigns them to offered slots.
 
     Attributes:
-        demand: Tells the owners what waits.
+        demand: Sends the demand to the slot owners.
 
     Args:
         app: The application.
@@ -79,7 +83,7 @@
     def configure(
         self, document: ServiceDocument, ownership: ServiceOwnership
     ) -> None:
-        """Take over the service document and who owns its slots."""
+        """Apply the service document and the ownership of its slots."""
         self._queue.configure(
             {item.name: item for item in document.request_classes},
             {item.name: item.queue_limit for item in document.workspaces},
@@ -132,7 +136,10 @@
     def release(
         self, grant: SlotGrant, outcome: SlotOutcome, tokens: int
     ) -> None:
-        """Use a slot for the next request or give it back to its owner."""
+        """Reuse a slot for the next request or release it to its owner.
+
+        Does nothing if the grant is no longer current.
+        """
         use = self._use_by_slot.get(grant.slot)
         if use is None or use.grant is not grant:
             return
@@ -154,16 +161,17 @@
             tokens=tokens,
             outcome=outcome,
         )
-        # While ownership moves, the router that made the offer may still hold
-        # the use, and would charge it until its lease ends.
+        # During a change of ownership, the router that made the offer may still
+        # account for the slot and would charge it until its lease expires.
         for router_id in {grant.slot.owner.router_id, self._owner_of(grant)}:
             self._send(router_id, released)
 
     def take_offer(self, offer: Offer) -> bool:
-        """Bind the best request to an offered slot.
+        """Assign the best waiting request to an offered slot.
 
         Returns:
-            Whether there was one; otherwise the offer is not answered.
+            Whether a request was assigned. Otherwise no message was sent to the
+            owner.
         """
         now = self._app.now()
         request = self._pop_best(offer.workspace, offer.upstream_id, now)
@@ -185,7 +193,7 @@
         return True
 
     def decline(self, offer: Offer) -> None:
-        """Tell the owner that no request fits its offer."""
+        """Decline an offer because no waiting request fits it."""
         declined = OfferDeclined(
             self._service, offer.slot, offer.workspace, offer.model
         )
@@ -203,13 +211,13 @@
             self.demand.changed()
 
     def refuse_all(self) -> None:
-        """Refuse every waiting request, since the service is gone."""
+        """Refuse every waiting request after the service was removed."""
         for request in list(self._queue):
             self._queue.remove(request)
             self._refuse(request, Refusal("unknown_service", 1.0))
 
     def send_reports(self) -> None:
-        """Tell each owner which of its slots are in use here."""
+        """Send each owner a report of its slots in use at this router."""
         now = self._app.now()
         active_by_owner: dict[str, list[ActiveSlot]] = {}
         for use in self._use_by_slot.values():
@@ -220,7 +228,7 @@
             self._send(owner, SlotReport(self._service, tuple(active_slots)))
 
     def send_report_to(self, router_id: str) -> None:
-        """Answer a new owner that asks which of its slots are in use."""
+        """Send a report of all slots in use to a new owner."""
         now = self._app.now()
         active = tuple(
             self._active_slot(use, now) for use in self._use_by_slot.values()
@@ -238,10 +246,10 @@
         return len(self._use_by_slot)
 
     def _rebind(self, use: _ActiveUse, now: float) -> bool:
-        """Use a slot for the next request of the same workspace.
+        """Assign a slot to the next request of the same workspace, if possible.
 
-        A round trip to the owner for every short request would leave the slot
-        idle meanwhile, so a workspace keeps it for one quantum.
+        A workspace keeps a slot for one quantum. A round trip to the owner
+        after every short request would leave the slot idle.
         """
         if now - use.offered_at >= self._quantum_seconds:
             return False
@@ -259,7 +267,7 @@
         return True
 
     def _bind(self, use: _ActiveUse, request: WaitingRequest) -> None:
-        """Hand a slot to the task of a request."""
+        """Pass a slot to the task that waits for it."""
         self._use_by_slot[use.grant.slot] = use
         future = self._future_by_request.get(request.request_id)
         if future is None or future.done():
@@ -307,7 +315,7 @@
         )
 
     def _refuse(self, request: WaitingRequest, refusal: Refusal) -> None:
-        """End the wait of a request that is no longer queued."""
+        """Raise a refusal in the task of a request that has left the queue."""
         future = self._future_by_request.get(request.request_id)
         if future is not None and not future.done():
             future.set_exception(refused_error(refusal))
--- a/packages/router/src/lacewingspar_router/components/scheduler/models.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/models.py
@@ -16,11 +16,12 @@
         service: Name of the service.
         workspace: Workspace of the caller.
         model: Model that the upstream must serve, or "" for any.
-        request_class: Name of the request's class.
-        arrived_at: Arrival in seconds of the application's clock.
-        deadline_at: Latest start of the answer on the same clock.
-        excluded_upstreams: Upstreams that must not be used, because the
-            request failed there before.
+        request_class: Name of the request class.
+        arrived_at: Arrival time on the application's clock, in seconds.
+        deadline_at: Latest start of the response, on the same clock.
+        excluded_upstreams: Upstreams that must not be used, because an attempt
+            failed there or, for a suspect request, because they run other
+            suspects.
     """
 
     request_id: str
@@ -35,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotGrant:
-    """A slot that a request may use once.
+    """A slot that is granted to one request.
 
     Attributes:
-        slot: Identity of the slot use.
+        slot: Identity of the slot allocation.
         service: Name of the service.
         workspace: Workspace that is charged.
-        upstream_id: Upstream that has the slot.
+        upstream_id: Upstream of the slot.
         request_class: Class of the request.
-        bound_at: Start of the use in seconds of the application's clock.
+        bound_at: Time of the grant on the application's clock, in seconds.
     """
 
     slot: SlotId
@@ -55,7 +56,7 @@
 
 
 class SlotScheduler(Protocol):
-    """Gives slots to requests in fair order."""
+    """Grants slots to requests in fair order."""
 
     async def async_acquire(self, request: SlotRequest) -> SlotGrant:
         """Wait for a slot; cancelling the call withdraws the request.
@@ -68,11 +69,11 @@
     def release(
         self, grant: SlotGrant, outcome: SlotOutcome, tokens: int = 0
     ) -> None:
-        """Give a slot back exactly once.
+        """Release a slot; only the first release of a grant has an effect.
 
         Args:
             grant: The grant that `async_acquire` returned.
-            outcome: How the use ended as far as the upstream is concerned.
+            outcome: How the attempt ended at the upstream.
             tokens: Tokens that the upstream reported, or 0.
         """
 
--- a/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: holder and owner roles of all services at this router."""
+"""Ingress queues and slot owners of all services at this router."""
 
 import asyncio
 from collections.abc import Mapping
@@ -67,12 +67,12 @@
 
 
 class FleetScheduler:
-    """Gives slots to requests by the fleet's protocol.
+    """Grants slots to requests by exchanging messages with other routers.
 
     Args:
         app: The application.
-        peers: Messages to other routers.
-        configuration: Service documents in force.
+        peers: Network to other routers.
+        configuration: Active service documents.
         upstreams: Status of the upstreams.
         recorder: Records events and decisions for replay, if any.
     """
@@ -124,11 +124,11 @@
     def release(
         self, grant: SlotGrant, outcome: SlotOutcome, tokens: int = 0
     ) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self._holder_by_service[grant.service].release(grant, outcome, tokens)
 
     def reconfigure(self) -> None:
-        """Take over documents, routers and upstream states."""
+        """Apply the active documents, alive routers and upstream states."""
         documents = self._configuration.documents_by_service
         for service in self._document_by_service.keys() - documents.keys():
             self._holder_by_service[service].refuse_all()
@@ -136,7 +136,7 @@
         for service, document in documents.items():
             self._reconfigure_service(service, document)
         own_id = self._app.life.router_id
-        # Each upstream answers one poller instead of its whole data centre.
+        # Only the owner polls an upstream, not every router of the data centre.
         self._upstreams.set_polled(
             [
                 (service, upstream_id)
@@ -157,7 +157,11 @@
             self.tick(ticks)
 
     def tick(self, ticks: int) -> None:
-        """Do the periodic work of one tick."""
+        """Perform the periodic checks and sends of one tick.
+
+        Args:
+            ticks: Number of ticks so far, including this one.
+        """
         for holder in self._holder_by_service.values():
             holder.refuse_expired()
             holder.demand.send_full_if_due()
@@ -168,14 +172,14 @@
             self._publish_due_counters(service)
 
     async def async_drain(self) -> None:
-        """Wait until no request waits for a slot or uses one."""
+        """Wait until all slots are released, then publish all counters."""
         while self._is_busy():  # noqa: ASYNC110
             await asyncio.sleep(const.TICK_SECONDS)
         for service in self._owner_by_service:
             self._publish_counters(service, full=True)
 
     def status_snapshot(self) -> dict[str, Any]:
-        """Return slots and backlog as JSON values, for operators."""
+        """Return slots and waiting requests as JSON values, for operators."""
         return {
             service: {
                 "owner_by_upstream": dict(
@@ -189,7 +193,7 @@
         }
 
     def accounts_snapshot(self) -> dict[str, Any]:
-        """Return the slot time granted by this life, as JSON values."""
+        """Return the slot time granted by this router instance, as JSON."""
         return {
             service: owner.ledger.own_served_by_workspace()
             for service, owner in self._owner_by_service.items()
@@ -355,10 +359,10 @@
         holder.send_report_to(received.sender.router_id)
 
     def _handle(self, service: str, event: OwnerEvent) -> int:
-        """Let the owner of a service handle an event.
+        """Pass an event to the slot owner of a service and perform its actions.
 
         Returns:
-            Bytes of counters that were sent.
+            Number of bytes of counters that were sent.
         """
         now = self._app.now()
         actions = self._owner_by_service[service].handle(event, now)
--- a/packages/router/src/lacewingspar_router/components/upstreams/answer.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/answer.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams with checks of identity and completeness."""
+"""Upstream responses with checks of identity and completeness."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 
@@ -30,13 +30,13 @@
 
 
 class HttpAnswer:
-    """An answer whose head has been received and checked.
+    """A response whose head was received and checked.
 
     Args:
-        response: The answer, not read yet.
-        expected_bytes: Announced length of the body, or None.
+        response: The response; its body is not read yet.
+        expected_bytes: Content length, or None if it is not known.
         on_end: Called once with the error, or with None after a complete body.
-        on_close: Called when the connection is free for another call.
+        on_close: Called when the connection may be reused.
     """
 
     def __init__(
@@ -58,10 +58,10 @@
         self._is_closed = False
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Return the body in parts as they arrive.
+        """Yield the chunks of the body as they arrive.
 
         Raises:
-            UpstreamError: The body ended early or went silent.
+            UpstreamError: The body ended early or timed out.
         """
         received = 0
         try:
@@ -69,16 +69,18 @@
                 received += len(part)
                 yield part
         except httpx.HTTPError as error:
-            raise self._failed(f"answer broke: {describe(error)}") from error
+            raise self._failed(
+                f"response broke off: {describe(error)}"
+            ) from error
         expected = self._expected_bytes
         if expected is not None and received != expected:
             raise self._failed(
-                f"answer has {received} bytes instead of {expected}"
+                f"response has {received} bytes instead of {expected}"
             )
         self._on_end(None)
 
     async def async_close(self) -> None:
-        """Close the call, which cancels it if it still runs."""
+        """Close the response and cancel the call if it is still running."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -94,21 +96,21 @@
 
 
 def check_head(call: UpstreamCall, response: httpx.Response) -> int | None:
-    """Check the identity and the framing of an answer.
+    """Check the identity and the framing of a response.
 
     Returns:
-        The announced length of the body, or None.
+        The content length, or None if it is not known.
 
     Raises:
-        UpstreamMismatchError: The answer is for another request.
+        UpstreamMismatchError: The response belongs to another request.
         UpstreamRefusedError: The upstream did not start the call.
-        UpstreamBrokenError: The end of the body could not be recognised.
+        UpstreamBrokenError: The framing does not mark the end of the body.
     """
     headers = response.headers.raw
     answered_id = header_value(headers, REQUEST_ID_HEADER)
     if answered_id != call.request_id:
         raise UpstreamMismatchError(
-            f"answer carries request id {answered_id!r}", run=RunState.UNKNOWN
+            f"response has request id {answered_id!r}", run=RunState.UNKNOWN
         )
     if (
         response.status_code == STATUS_UNAVAILABLE
@@ -123,7 +125,7 @@
 
 
 def describe(error: Exception) -> str:
-    """Return an error's class and message."""
+    """Return the class name and the message of an error."""
     return f"{type(error).__name__} {error}".strip()
 
 
@@ -134,10 +136,11 @@
         return int(length)
     is_chunked = header_value(headers, b"transfer-encoding") is not None
     content_type = header_value(headers, b"content-type") or ""
-    # An event stream has an end marker of its own. Any other body that ends
-    # with the connection would look complete after a break.
+    # Event streams have an end marker. Any other body that ends with the
+    # connection would look complete after a broken connection.
     if is_chunked or content_type.startswith(EVENT_STREAM):
         return None
     raise UpstreamBrokenError(
-        "answer announces neither its length nor chunks", run=RunState.UNKNOWN
+        "response has neither a content length nor chunked encoding",
+        run=RunState.UNKNOWN,
     )
--- a/packages/router/src/lacewingspar_router/components/upstreams/connections.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/connections.py
@@ -1,4 +1,4 @@
-"""HTTP connections to upstream addresses."""
+"""HTTP connections to upstreams."""
 
 import ssl
 import time
@@ -43,7 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _IdleTransport:
-    """A transport without a call, and since when on the monotonic clock."""
+    """A transport without a call.
+
+    Attributes:
+        transport: The transport.
+        since: Start of the idle time on the monotonic clock, in seconds.
+    """
 
     transport: httpx.AsyncHTTPTransport
     since: float
@@ -52,14 +57,15 @@
 class UpstreamConnections:
     """Connections to one upstream address.
 
-    Transports are used without a client, since a client would keep cookies of
-    one caller and send them with the calls of another. Each transport carries
-    one call at a time, because the pool inside a transport goes through all
-    pairs of its connections at each call: 64 calls at once took 6 ms each.
+    Transports are used without an httpx client, because a client would store
+    the cookies of one caller and send them with the calls of another. Each
+    transport carries one call at a time, because the pool of a transport
+    compares all pairs of its connections for each call: 64 concurrent calls
+    took 6 ms each.
 
     Args:
         address: Base URL from the service document.
-        address_map: Replacements of `host:port`.
+        address_map: Replacement `host:port` by original `host:port`.
         ssl_context: TLS settings, shared by all addresses.
     """
 
@@ -82,7 +88,7 @@
         self._idle: deque[_IdleTransport] = deque()
 
     async def async_call(self, call: UpstreamCall, on_end: OnEnd) -> HttpAnswer:
-        """Send a call and wait for the head of the answer.
+        """Send a call and wait for the response head.
 
         Raises:
             UpstreamError: The call failed.
@@ -112,7 +118,7 @@
             await self._transports.pop().aclose()
 
     def _take(self) -> httpx.AsyncHTTPTransport:
-        """Return the transport that was used last, or a new one."""
+        """Return the most recently used idle transport, or a new one."""
         if self._idle:
             return self._idle.pop().transport
         transport = httpx.AsyncHTTPTransport(
@@ -126,7 +132,7 @@
     async def _async_give_back(
         self, transport: httpx.AsyncHTTPTransport
     ) -> None:
-        """Keep a transport for reuse and close those that are not needed."""
+        """Keep a transport for reuse and close expired or surplus ones."""
         if transport not in self._transports:
             return
         now = time.monotonic()
@@ -158,7 +164,7 @@
             ) from error
         except httpx.HTTPError as error:
             raise UpstreamBrokenError(
-                f"no answer: {describe(error)}", run=RunState.UNKNOWN
+                f"no response: {describe(error)}", run=RunState.UNKNOWN
             ) from error
 
     def _request(self, call: UpstreamCall) -> httpx.Request:
@@ -179,7 +185,7 @@
             headers=headers,
             stream=httpx.ByteStream(call.body),
             extensions={
-                # Keeps the caller's spelling of the path.
+                # Preserves the caller's spelling of the path.
                 "target": call.path.encode("latin-1"),
                 "timeout": {
                     "connect": CONNECT_TIMEOUT_SECONDS,
--- a/packages/router/src/lacewingspar_router/components/upstreams/const.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/const.py
@@ -1,19 +1,19 @@
 """Constants of the upstreams component."""
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-# A connection that has gone silent is noticed only when it is used, so idle
-# connections are closed after this time.
+# A dead idle connection is noticed only by its next call, so idle connections
+# are closed after this time.
 IDLE_EXPIRY_SECONDS = 5.0
-# After a broken call, an upstream that does not answer within this time counts
-# as crashed.
+# An upstream counts as crashed if it does not respond within this time after a
+# broken call.
 UP_CHECK_SECONDS = 1.0
 WRITE_TIMEOUT_SECONDS = 30.0
-# Slots limit the calls per upstream; this limits the idle connections only.
+# Limits only idle connections; the slots limit the calls per upstream.
 MAX_IDLE_CONNECTIONS = 256
 
-# An upstream sets this header on a 503 answer to a call that it did not start.
+# Set by an upstream on a 503 response to a call that it did not start.
 HEADER_NOT_RUN = b"x-not-run"
 STATUS_UNAVAILABLE = 503
-# Upstreams of another data centre that are asked whether the network to it
-# works.
+# Number of upstreams that are called to check whether another data centre is
+# reachable.
 REACH_CHECKS = 4
--- a/packages/router/src/lacewingspar_router/components/upstreams/errors.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/errors.py
@@ -24,11 +24,11 @@
 
 
 class UpstreamBrokenError(UpstreamError):
-    """The connection broke, went silent or the answer was incomplete."""
+    """The connection broke or timed out, or the response was incomplete."""
 
 
 class UpstreamMismatchError(UpstreamError):
-    """The answer carries the identity of another request."""
+    """The response has the id of another request."""
 
 
 class UpstreamInvalidCallError(UpstreamError):
--- a/packages/router/src/lacewingspar_router/components/upstreams/health.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/health.py
@@ -1,4 +1,4 @@
-"""Monitor of upstream health by load reports, probes and answers."""
+"""Health monitoring of upstreams by load reports, probes and calls."""
 
 import asyncio
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -46,11 +46,12 @@
 LOAD_PATH = "/load"
 HEALTH_PATH = "/health"
 LOAD_POLL_SECONDS = 1.0
-# Spreads the polls of a router over the interval.
+# Fraction of the interval by which polls are spread.
 LOAD_POLL_JITTER = 0.1
-# Shorter than the time after which missing reports freeze the limit.
+# Shorter than the time after which missing load reports freeze the slot limit.
 REQUEST_TIMEOUT_SECONDS = 2.0
-# An upstream without a health resource answers 404, which shows that it runs.
+# A lower status, such as 404 without a health resource, shows that the upstream
+# is running.
 FIRST_FAILURE_STATUS = 500
 
 UpstreamKey = tuple[str, str]
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Watched:
-    """An upstream that the monitor watches."""
+    """A monitored upstream and its state."""
 
     key: UpstreamKey
     upstream: Upstream
@@ -73,13 +74,14 @@
 
 
 class UpstreamHealthMonitor:
-    """Watches all upstreams with one task for each.
+    """Monitors all upstreams, each in a separate task.
 
-    Only upstreams of the own data centre are polled for load and probed while
-    unknown. Those of other data centres are probed after a failure.
+    Only upstreams of the same data centre are polled for load, and probed while
+    their state is unknown. Upstreams of other data centres are only probed
+    after a failure.
 
     Args:
-        client: HTTP client for polls and probes. It should not be the one for
+        client: HTTP client for polls and probes, separate from the one for
             requests, whose connections may all be in use.
         data_centre: Data centre of this router.
         now: Returns the time in seconds.
@@ -110,7 +112,7 @@
     def status_by_upstream(self) -> Mapping[UpstreamKey, UpstreamStatus]:
         """Return a live view of the status by (service, upstream id).
 
-        An upstream that is no longer listed has no status.
+        Removed upstreams have no status.
         """
         return MappingProxyType(self._status_by_key)
 
@@ -121,9 +123,10 @@
     def set_upstreams(
         self, upstreams_by_service: Mapping[str, Iterable[Upstream]]
     ) -> None:
-        """Watch exactly these upstreams.
+        """Monitor exactly these upstreams.
 
-        An upstream whose address, data centre or VM has changed is a new one.
+        An upstream whose address, data centre or VM has changed is treated as a
+        new one.
         """
         listed = {
             (service, upstream.id): upstream
@@ -142,7 +145,9 @@
             self._notify()
 
     def set_polled(self, keys: Collection[UpstreamKey] | None) -> None:
-        """Poll only these upstreams of the own data centre for load.
+        """Select the upstreams to poll for load.
+
+        Upstreams of other data centres are never polled.
 
         Args:
             keys: Upstreams by (service, upstream id), such as those in the
@@ -154,7 +159,7 @@
             self._set_polled_flags()
 
     def set_leaving_vms(self, leaving_vms: frozenset[str]) -> None:
-        """Apply the VM list."""
+        """Update the health of upstreams by the VMs that are about to leave."""
         self._leaving_vms = leaving_vms
         for watched in list(self._watched_by_key.values()):
             self._apply(watched, self._vm_event(watched.upstream))
@@ -162,12 +167,12 @@
     def on_answer(
         self, service: str, upstream_id: str, latency_seconds: float
     ) -> None:
-        """Note a complete answer.
+        """Record a complete response.
 
         Args:
             service: Name of the service.
-            upstream_id: Upstream that answered.
-            latency_seconds: Time from sending to the head of the answer.
+            upstream_id: Upstream that sent the response.
+            latency_seconds: Time from sending the call to the response head.
         """
         watched = self._watched_by_key.get((service, upstream_id))
         if watched is not None:
@@ -176,7 +181,7 @@
     def on_failure(
         self, service: str, upstream_id: str, error: UpstreamError
     ) -> None:
-        """Note a failed call; a refusal by the upstream is no failure."""
+        """Record a failed call; a refusal by the upstream is not a failure."""
         watched = self._watched_by_key.get((service, upstream_id))
         if watched is None:
             return
@@ -189,7 +194,7 @@
                 return
 
     async def async_close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         tasks = [w.task for w in self._watched_by_key.values() if w.task]
         self._watched_by_key.clear()
         self._status_by_key.clear()
@@ -266,7 +271,7 @@
             self._notify()
 
     def _update_status(self, watched: _Watched) -> bool:
-        """Update the published status and return whether it has changed."""
+        """Update the published status and return whether it changed."""
         health = watched.health
         status = UpstreamStatus(state=health.state, slots=health.slots)
         if self._status_by_key.get(watched.key) == status:
@@ -282,7 +287,7 @@
                 _LOGGER.exception("upstream status listener failed")
 
     async def _async_watch(self, watched: _Watched) -> None:
-        """Probe and poll one upstream whenever that is due."""
+        """Probe and poll one upstream whenever it is due."""
         while True:
             try:
                 await self._async_wait_until_due(watched)
@@ -303,7 +308,7 @@
                     await watched.wake.wait()
 
     def _due_at(self, watched: _Watched) -> float | None:
-        """Return when the next probe or poll is due, if any is."""
+        """Return the time of the next probe or poll, or None."""
         due = [self._probe_due_at(watched), self._poll_due_at(watched)]
         return min((time for time in due if time is not None), default=None)
 
@@ -342,7 +347,7 @@
         self._apply(watched, ProbeSucceeded() if is_up else ProbeFailed())
 
     async def _async_read_load(self, watched: _Watched) -> HealthEvent | None:
-        """Return the event of one poll, or None without a report."""
+        """Poll the load and return the event, or None without a report."""
         try:
             response = await self._client.get(
                 watched.url + LOAD_PATH, timeout=REQUEST_TIMEOUT_SECONDS
--- a/packages/router/src/lacewingspar_router/components/upstreams/models.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/models.py
@@ -12,13 +12,13 @@
     """An HTTP call to one upstream.
 
     Attributes:
-        request_id: Identity that the upstream must repeat.
+        request_id: Id that the upstream must echo in the response.
         method: HTTP method.
         path: Path with query string.
         headers: Headers without hop-by-hop headers.
         body: Request body.
-        silent_after_seconds: An answer that delivers nothing for this long
-            counts as failed.
+        silent_after_seconds: Read timeout: the call fails if no data arrives
+            for this long.
     """
 
     request_id: str
@@ -30,7 +30,7 @@
 
 
 class UpstreamAnswer(Protocol):
-    """An answer whose head has been received and checked.
+    """A response whose head was received and checked.
 
     Attributes:
         status: HTTP status code.
@@ -41,24 +41,24 @@
     headers: tuple[tuple[str, str], ...]
 
     def body(self) -> AsyncIterator[bytes]:
-        """Return the body in parts as they arrive.
+        """Yield the chunks of the body as they arrive.
 
         Raises:
-            UpstreamError: The body ended early or went silent.
+            UpstreamError: The body ended early or timed out.
         """
 
     async def async_close(self) -> None:
-        """Close the call, which cancels it if it still runs."""
+        """Close the response and cancel the call if it is still running."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamStatus:
-    """What this router knows about one upstream.
+    """Status of one upstream as known to this router.
 
     Attributes:
-        state: State of the upstream health chart: `unknown`, `healthy`,
+        state: State in the upstream health state chart: `unknown`, `healthy`,
             `failing`, `leaving` or `gone`.
-        slots: Number of requests that it may run at once now.
+        slots: Number of requests that the upstream may currently run at once.
     """
 
     state: str
@@ -71,7 +71,7 @@
     async def async_call(
         self, service: str, upstream_id: str, call: UpstreamCall
     ) -> UpstreamAnswer:
-        """Send a call and wait for the head of the answer.
+        """Send a call and wait for the response head.
 
         Raises:
             UpstreamError: The call failed; its `run` attribute says whether
@@ -79,20 +79,22 @@
         """
 
     async def async_is_up(self, service: str, upstream_id: str) -> bool:
-        """Return whether an upstream answers HTTP requests."""
+        """Return whether an upstream responds to HTTP requests."""
 
     async def async_is_reachable(self, service: str, upstream_id: str) -> bool:
-        """Return whether the network to an upstream's data centre works."""
+        """Return whether the data centre of an upstream is reachable."""
 
     @property
     def status_by_upstream(self) -> Mapping[tuple[str, str], UpstreamStatus]:
         """Return the status by (service, upstream id)."""
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change of a status."""
+        """Register a function that is called after every status change."""
 
     def set_polled(self, keys: Collection[tuple[str, str]]) -> None:
-        """Poll only these upstreams of the own data centre for load.
+        """Select the upstreams to poll for load.
+
+        Upstreams of other data centres are never polled.
 
         Args:
             keys: Upstreams by (service, upstream id).
--- a/packages/router/src/lacewingspar_router/components/upstreams/pool.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/pool.py
@@ -1,4 +1,4 @@
-"""Upstreams of all services in force."""
+"""Upstreams of all active services."""
 
 import asyncio
 import ssl
@@ -74,15 +74,15 @@
         return self._monitor.status_by_upstream
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after every change of a status."""
+        """Register a function that is called after every status change."""
         self._monitor.add_listener(listener)
 
     def set_polled(self, keys: Collection[UpstreamKey]) -> None:
-        """Poll only these upstreams of the own data centre for load."""
+        """Select the upstreams to poll for load."""
         self._monitor.set_polled(keys)
 
     def apply_configuration(self) -> None:
-        """Take over the upstreams of the documents in force."""
+        """Apply the upstreams of the active documents."""
         documents = self._configuration.documents_by_service
         self._address_by_upstream = {
             (name, upstream.id): upstream.address
@@ -99,13 +99,13 @@
         )
 
     def apply_vm_list(self) -> None:
-        """Take over which VMs are about to leave."""
+        """Apply the list of VMs that are about to leave."""
         self._monitor.set_leaving_vms(self._vm_list.leaving_vms)
 
     async def async_call(
         self, service: str, upstream_id: str, call: UpstreamCall
     ) -> HttpAnswer:
-        """Send a call and wait for the head of the answer.
+        """Send a call and wait for the response head.
 
         Raises:
             UpstreamError: The call failed; its `run` attribute says whether
@@ -133,7 +133,7 @@
         return answer
 
     async def async_is_up(self, service: str, upstream_id: str) -> bool:
-        """Return whether an upstream answers HTTP requests."""
+        """Return whether an upstream responds to HTTP requests."""
         address = self._address_by_upstream.get((service, upstream_id))
         if address is None:
             return False
@@ -147,10 +147,10 @@
         return True
 
     async def async_is_reachable(self, service: str, upstream_id: str) -> bool:
-        """Return whether the network to an upstream's data centre works.
+        """Return whether the data centre of an upstream is reachable.
 
-        Another data centre counts as cut off unless one of its other
-        upstreams answers.
+        Another data centre counts as reachable only if one of its other
+        upstreams responds.
         """
         key = (service, upstream_id)
         data_centre = self._data_centre_by_upstream.get(key)
@@ -193,7 +193,7 @@
         error: UpstreamError | None,
         latency_seconds: float,
     ) -> None:
-        """Note how a call ended in the upstream's health."""
+        """Record the end of a call in the health of the upstream."""
         if error is None:
             self._monitor.on_answer(*key, latency_seconds)
             return
