--- a/packages/router/src/lacewingspar_router/components/configuration/const.py
+++ b/packages/router/src/lacewingspar_router/components/configuration/const.py
@@ -5,8 +5,8 @@
 LONG_POLL_SECONDS = 5.0
 # Delay after a failed read, which limits the request rate during an outage.
 READ_RETRY_SECONDS = 0.5
-# Interval of the exchange with peers. Two intervals plus a heartbeat interval are
-# below the propagation target of 3 s.
+# Interval of the exchange with peers. Two intervals plus a heartbeat interval
+# are below the propagation target of 3 s.
 PEER_EXCHANGE_SECONDS = 0.5
 # Number of routers that send records to a peer that is behind, in case one of
 # them cannot reach the peer.
--- a/tests/router/components/caller_api/test_answer_body.py
+++ b/tests/router/components/caller_api/test_answer_body.py
@@ -1,4 +1,4 @@
-"""Bodies of answers on their way to the caller."""
+"""Buffering of response bodies."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 def test_only_whole_events_pass(
     parts: list[bytes], passed: list[bytes], held: bytes
 ) -> None:
-    """Guards against an error event that runs into a cut event."""
+    """An error event must not follow an incomplete event."""
     gate = EventGate()
     assert [gate.push(part) for part in parts] == passed
     assert gate.flush() == held
--- a/tests/router/components/conftest.py
+++ b/tests/router/components/conftest.py
@@ -1,4 +1,4 @@
-"""An in-memory log service behind an HTTP transport, and other fakes."""
+"""In-memory log service and other fakes for component tests."""
 
 import asyncio
 import contextlib
@@ -27,10 +27,13 @@
 
 
 class FakeLog:
-    """Log service with switchable faults, as an httpx handler.
+    """Fake log service with injectable faults, as an httpx handler.
 
-    `append_fault` is the exception or status of the next append, which is
-    written all the same if `is_written`. Appends wait until `gate` is set.
+    Attributes:
+        append_fault: Exception or HTTP status of the next append.
+        is_written: Whether an append with a fault is written nevertheless.
+        is_down: Whether connections are refused.
+        gate: Appends wait until this event is set.
     """
 
     def __init__(self) -> None:
@@ -94,7 +97,7 @@
 
 
 class FakePeers:
-    """Peer network that connects the applications of one test."""
+    """Fake peer network between the applications of one test."""
 
     def __init__(self, app: Application, network: dict[str, Any]) -> None:
         self.app = app
@@ -147,7 +150,7 @@
 async def make_app(
     fake_log: FakeLog,
 ) -> AsyncIterator[Callable[..., Application]]:
-    """Return a function that makes an application on the fake log."""
+    """Return a function that creates an application with the fake log."""
     apps: list[Application] = []
     network: dict[str, Any] = {}
 
--- a/tests/router/components/test_claims.py
+++ b/tests/router/components/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims that follow the log."""
+"""Claim registry on top of the claim stream."""
 
 import asyncio
 import uuid
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def start(make_app: Any, until: Any) -> Callable[..., Any]:
-    """Return a function that starts a router which has read the stream."""
+    """Return a function that starts a router and reads the claim stream."""
 
     async def start_router(router_id: str = "r1") -> Any:
         app = make_app(router_id)
@@ -62,7 +62,7 @@
 
 
 async def test_frozen_router_does_not_send(start, monkeypatch) -> None:
-    """Guards against a send on a claim from before a suspension."""
+    """A process that was suspended must not use its expired claim."""
     claims = await start()
     granted = await claim(claims)
     monkeypatch.setattr(claims._app, "now", lambda: granted.send_before)
@@ -113,7 +113,11 @@
 
 
 async def test_claim_of_a_gone_router_is_unknown(start, fake_log) -> None:
-    """Guards against a second run after a crash, also of the same router."""
+    """Guards against a second run after a router crash.
+
+    The claim may belong to another router or to an earlier instance of the same
+    router.
+    """
     lives = [RouterLife("gone", 1), RouterLife("r1", 1)]
     for life in lives:
         key = claim_key("s", "w", life.router_id)
@@ -128,7 +132,7 @@
     "fault", [httpx.ReadTimeout("lost"), httpx.RemoteProtocolError("closed")]
 )
 async def test_lost_append_reply(start, fake_log, fault) -> None:
-    """Guards against a call that is refused though its claim was written."""
+    """Guards against refusing a call whose claim was written."""
     claims = await start()
     fake_log.append_fault, fake_log.is_written = fault, True
     assert isinstance(await claim(claims), models.ClaimGranted)
@@ -137,7 +141,7 @@
 async def test_late_claim_is_released(
     start, fake_log, until, monkeypatch
 ) -> None:
-    """Guards against a key that stays blocked by a claim nobody waits for."""
+    """Guards against a key that is blocked by a claim that timed out."""
     claims = await start()
     monkeypatch.setattr(registry, "CLAIM_TIMEOUT_SECONDS", 0.02)
     fake_log.gate.clear()
@@ -157,7 +161,7 @@
 
 
 async def test_log_down(start, fake_log, until) -> None:
-    """Guards against a new key that is decided without the log."""
+    """Guards against granting a new key while the log is unavailable."""
     claims = await start()
     granted = await claim(claims, "known")
     claims.record_outcome(granted, ANSWER)
@@ -183,7 +187,7 @@
 async def test_outcome_is_written_after_an_outage(
     start, fake_log, until
 ) -> None:
-    """Guards against a first answer that is lost with one failed append."""
+    """Guards against losing the first response with one failed append."""
     claims = await start()
     granted = await claim(claims)
     fake_log.append_fault = httpx.ReadTimeout("lost")
@@ -204,7 +208,7 @@
 
 
 async def test_claim_of_a_call_that_failed_to_start_is_released(start) -> None:
-    """Guards against a key that stays blocked although nothing has run."""
+    """Guards against a key that is blocked although the call did not run."""
     claims = await start()
     granted = await claim(claims)
     assert claims.may_send(granted)
--- a/tests/router/components/test_configuration.py
+++ b/tests/router/components/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration that follows the log and peers."""
+"""Configuration store that reads the log and exchanges records with peers."""
 
 import asyncio
 from typing import Any
@@ -77,7 +77,7 @@
 
 
 async def test_racing_edits_of_two_routers(make_app, until) -> None:
-    """Guards against two edits accepted on one base version."""
+    """Guards against accepting two edits with the same base version."""
     apps = [make_app("r1"), make_app("r2")]
     for app in apps:
         configuration = await started(app)
@@ -102,7 +102,7 @@
 async def test_lost_append_reply(
     make_app, until, fake_log, monkeypatch, is_written, fault, expected
 ) -> None:
-    """Guards against an edit that is reported lost though it is in force."""
+    """Guards against reporting an accepted edit as unknown."""
     app = make_app()
     configuration = await started(app)
     await until(lambda: configuration.is_ready)
@@ -136,7 +136,7 @@
 
 
 async def test_new_router_starts_from_a_peer(make_app, until, fake_log) -> None:
-    """Guards against a router that stays unready while the log is down."""
+    """Guards against a router that cannot start while the log is down."""
     first = make_app("r1")
     configuration = await started(first)
     await until(lambda: configuration.is_ready)
@@ -148,7 +148,7 @@
 
 
 async def test_records_are_passed_on_to_a_peer_behind(make_app, until) -> None:
-    """Guards against a router that keeps an old configuration unnoticed."""
+    """Guards against a router that keeps an outdated configuration."""
     first, second = make_app("r1"), make_app("r2")
     configuration = await started(first)
     await until(lambda: configuration.is_ready)
@@ -181,7 +181,7 @@
 ) -> None:
     """Guards against ranking the whole fleet after every change.
 
-    A data centre in which nobody is up to date must still be helped.
+    A data centre without an up-to-date router must still get the records.
     """
     app = make_app("r1")
     configuration = await started(app)
@@ -218,7 +218,7 @@
 async def test_snapshot_replaces_expired_records(
     make_app, until, fake_log
 ) -> None:
-    """Guards against a configuration that is lost with its old records."""
+    """Guards against losing the configuration when its records expire."""
     first = make_app("r1")
     configuration = await started(first)
     await until(lambda: configuration.is_ready)
--- a/tests/router/components/test_holder.py
+++ b/tests/router/components/test_holder.py
@@ -1,4 +1,4 @@
-"""Holder role of the scheduler."""
+"""Queue of a service at the ingress router."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 
 
 class Clock(Application):
-    """Application with a clock that the test sets."""
+    """Application with a clock that is set by the test."""
 
     time = 1.0
 
@@ -39,7 +39,7 @@
 
 
 class Harness:
-    """A holder whose messages are kept."""
+    """An ingress queue whose sent messages are recorded."""
 
     def __init__(self, quantum: float) -> None:
         self.clock = Clock(
@@ -124,7 +124,7 @@
 async def test_slot_is_kept_for_one_quantum(
     quantum: float, elapsed: float, is_kept: bool
 ) -> None:
-    """Guards against a workspace that keeps a slot beyond its quantum."""
+    """Guards against keeping a slot after its quantum has passed."""
     harness = Harness(quantum)
     first, second = harness.acquire(1), harness.acquire(2)
     await asyncio.sleep(0)
@@ -139,7 +139,7 @@
 
 
 async def test_failed_upstream_is_not_used_again() -> None:
-    """Guards against requests that follow a failure to the same upstream."""
+    """Guards against reusing the slot of a failed attempt."""
     harness = Harness(10.0)
     first, second = harness.acquire(1), harness.acquire(2)
     await asyncio.sleep(0)
@@ -151,7 +151,7 @@
 
 
 async def test_release_reaches_the_router_that_made_the_offer() -> None:
-    """Guards against a use that a former owner charges until its lease ends."""
+    """Guards against a slot that a former owner charges until lease expiry."""
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
@@ -173,7 +173,7 @@
 
 
 async def test_demand_is_told_again_after_a_declined_offer() -> None:
-    """Guards against demand that the owner takes for zero."""
+    """The owner assumes no demand after a declined offer."""
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
@@ -185,7 +185,7 @@
     harness.clock.time += 1.0
     harness.holder.decline(offer(1))
     assert harness.messages(OfferDeclined)
-    # Telling it at once would have the same offer made all the time.
+    # An immediate demand message would cause the same offer again.
     assert not harness.messages(Demand)
     await harness.demand_sent.wait()
     (demand,) = harness.messages(Demand)
@@ -201,7 +201,7 @@
 async def test_interval_of_full_demand_grows_with_its_size(
     message_bytes: int, elapsed: float, is_sent: bool
 ) -> None:
-    """Guards against demand that exceeds the control traffic's limit."""
+    """Guards against demand messages that exceed the control budget."""
     harness = Harness(0.0)
     harness.message_bytes = message_bytes
     harness.holder.demand.send_full()
@@ -224,7 +224,7 @@
 async def test_cancelled_at_the_moment_of_the_grant(
     is_cancelled_first: bool,
 ) -> None:
-    """Guards against a slot that nobody uses until its lease ends."""
+    """Guards against a slot that stays unused until its lease expires."""
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
--- a/tests/router/components/test_scheduler.py
+++ b/tests/router/components/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Scheduler component."""
+"""Fleet scheduler."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -30,7 +30,7 @@
 def test_only_owned_upstreams_are_polled(
     states: dict[str, RouterState], expected: int
 ) -> None:
-    """Guards against each upstream answering polls of all routers."""
+    """Guards against every router polling every upstream."""
     document = service_document(workspaces=1, upstreams=16)
     app: Any = mock.MagicMock(life=RouterLife("a", 1))
     app.settings.data_centre = "dc-1"
--- a/tests/router/components/upstreams/test_connections.py
+++ b/tests/router/components/upstreams/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to upstream addresses."""
+"""HTTP connections to upstreams."""
 
 import asyncio
 import ssl
@@ -16,7 +16,7 @@
 
 
 class Upstream:
-    """Answers with the request id and notes the client's port of each call."""
+    """Responds with the request id and records each call's client port."""
 
     def __init__(self) -> None:
         self.ports: list[int] = []
@@ -62,7 +62,7 @@
         return b"".join([part async for part in answer.body()])
     finally:
         await answer.async_close()
-        # A second close must not offer the connection twice.
+        # A second close must not make the connection idle twice.
         await answer.async_close()
 
 
@@ -96,7 +96,7 @@
     connections: UpstreamConnections,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against unused connections that stay open for ever."""
+    """Guards against idle connections that stay open forever."""
     upstream.may_answer.clear()
     calls = [
         asyncio.create_task(call(connections, name)) for name in ("aa", "bb")
@@ -114,7 +114,7 @@
 async def test_a_cancelled_call_gives_its_transport_back(
     upstream: Upstream, connections: UpstreamConnections
 ) -> None:
-    """Guards against transports that leak when callers leave."""
+    """Guards against transports that leak when callers disconnect."""
     upstream.may_answer.clear()
     task = asyncio.create_task(call(connections, "aa"))
     await upstream.arrivals.get()
--- a/tests/router/components/upstreams/test_health.py
+++ b/tests/router/components/upstreams/test_health.py
@@ -1,4 +1,4 @@
-"""Monitor of upstream health."""
+"""Health monitoring of upstreams."""
 
 import asyncio
 from collections import defaultdict
@@ -23,9 +23,9 @@
 
 
 class Monitor(UpstreamHealthMonitor):
-    """A monitor with answers for its polls and probes.
+    """A monitor with scripted responses to its polls and probes.
 
-    Each path gives its answers in turn, and the last one again and again.
+    Each path returns its responses in order and then repeats the last one.
     """
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
 
 
 async def test_failing_upstream_returns_after_a_probe(monitor: Monitor) -> None:
-    """Guards against new work for a crashed upstream, and against its loss."""
+    """A crashed upstream gets no requests until a probe succeeds."""
     monitor.answers_by_path["/load"] = [httpx.ConnectError(""), NOT_FOUND]
     monitor.answers_by_path["/health"] = [
         httpx.Response(200),
@@ -92,7 +92,7 @@
 ) -> None:
     """Guards against refusals that count as failures, and the reverse.
 
-    An upstream elsewhere is probed only after a failure.
+    An upstream of another data centre is probed only after a failure.
     """
     monitor.set_upstreams({"s": [REMOTE]})
     await asyncio.sleep(0)
@@ -105,7 +105,10 @@
 
 
 async def test_leaving_vm_gets_no_new_work(monitor: Monitor) -> None:
-    """Guards against new work for upstreams listed before or after the VM."""
+    """Upstreams of a leaving VM get no requests.
+
+    The VM may be listed before or after the upstream is configured.
+    """
     monitor.set_leaving_vms(frozenset({"vm-u"}))
     monitor.set_upstreams({"s": [LOCAL, REMOTE]})
     assert monitor.state() == ("leaving", 0)
@@ -118,7 +121,7 @@
 async def test_only_selected_local_upstreams_are_polled(
     monitor: Monitor,
 ) -> None:
-    """Guards against polls that grow with the square of the fleet."""
+    """Guards against every router polling every upstream."""
     monitor.answers_by_path["/load"] = [BUSY]
     monitor.set_polled([("s", "second"), ("s", "far")])
     monitor.set_upstreams({"s": [LOCAL, REMOTE, SECOND]})
@@ -127,7 +130,7 @@
 
 
 async def test_document_changes(monitor: Monitor) -> None:
-    """Guards against state of an upstream that another one has replaced."""
+    """A replaced upstream must not pass its state to its successor."""
     monitor.set_upstreams({"s": [LOCAL]})
     monitor.on_answer("s", "u", 0.1)
     for address, state in (
--- a/tests/router/conftest.py
+++ b/tests/router/conftest.py
@@ -1,4 +1,4 @@
-"""In-process fakes and a router that serves on a port of the system."""
+"""In-process fakes and a router that listens on a free port."""
 
 import asyncio
 import hashlib
@@ -115,14 +115,14 @@
 
 
 class FakeScheduler:
-    """Grants the first upstream that is neither excluded nor full at once."""
+    """Immediately grants the first upstream not excluded and not full."""
 
     def __init__(self, configuration: FakeConfiguration) -> None:
         self.configuration = configuration
         self.requests: list[SlotRequest] = []
         self.released: list[tuple[str, SlotOutcome, int]] = []
         self.full_upstreams: set[str] = set()
-        # Set when a request has begun to wait for a slot that never comes.
+        # If given, requests set this event and then wait forever for a slot.
         self.hold: asyncio.Event | None = None
 
     async def async_acquire(self, request: SlotRequest) -> SlotGrant:
@@ -224,20 +224,24 @@
     calls: list[Any] | None = None,
     called: asyncio.Event | None = None,
 ) -> Upstream:
-    """Return an upstream that sends a body, as a whole or broken off.
+    """Return an upstream app that sends a complete or truncated body.
 
     Args:
-        answered_id: Request id of the answer, if not the one of the request.
-        is_complete: Whether the body is ended properly.
-        hold: Awaited after the parts.
-        calls: Collects the scopes of requests.
-        called: Set when a request has arrived.
+        parts: Chunks of the body.
+        status: HTTP status code.
+        headers: Additional response headers.
+        answered_id: Request id of the response, by default the one of the
+            request.
+        is_complete: Whether the app finishes the body.
+        hold: Awaited after the chunks are sent.
+        calls: Collects the ASGI scopes of the requests.
+        called: Set when a request arrives.
     """
 
     async def app(scope: Any, receive: Any, send: Any) -> None:
         await receive()
         if scope["path"] in ("/health", "/load"):
-            # Probes of the router are not calls.
+            # Health probes and load polls are not recorded as calls.
             await send({"type": "http.response.start", "status": 404})
             await send({"type": "http.response.body"})
             return
@@ -287,7 +291,7 @@
     ports: tuple[int, ...] = (),
     claims: FakeClaims | None = None,
 ) -> AsyncIterator[Router]:
-    """Run a router in front of the given upstreams and ports."""
+    """Run a router with the given upstream apps and upstream ports."""
     async with AsyncExitStack() as stack:
         used = [
             *[await stack.enter_async_context(served(a)) for a in upstream_apps]
@@ -324,6 +328,6 @@
         yield Router(
             application, configuration, scheduler, claims, proxy, client
         )
-        # Every path through the caller API must follow the request chart.
+        # Every request must follow the state chart of requests.
         _, metrics = application.get(TELEMETRY).render()
         assert b"request_chart_errors_total" not in metrics
--- a/tests/router/test_claimed.py
+++ b/tests/router/test_claimed.py
@@ -1,4 +1,4 @@
-"""Calls with an idempotency key."""
+"""Calls with an idempotency key, end to end."""
 
 import asyncio
 from typing import Any
@@ -111,21 +111,21 @@
     run: str,
     releases: int,
 ) -> None:
-    """Guards against `not_run` for a key that may have run or is claimed."""
+    """Guards against `not_run` for a call that ran or a key still claimed."""
     async with routed(upstream, GOOD) as router:
         router.claims.may = may_send
         router.claims.release_confirmed = confirmed
         error = (await pay(router)).json()["error"]
         assert (error["code"], error["run"]) == (code, run)
         assert router.claims.released == releases
-        # A sent call needs the caller's word that it has not run.
+        # After sending, a release must confirm that the call has not run.
         assert router.claims.released_after_sending == releases * may_send
         assert len(router.scheduler.requests) == 1
         assert router.claims.outcomes == []
 
 
 class SlowClaims(FakeClaims):
-    """Decides when the test says so."""
+    """Delays decisions until the test sets `decide`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -139,7 +139,7 @@
 
 
 async def test_claim_granted_after_the_caller_left_is_released() -> None:
-    """Guards against a key that stays claimed although nothing was sent."""
+    """Guards against a key that stays claimed without a sent call."""
     claims = SlowClaims()
     async with routed(GOOD, claims=claims) as router:
         request = asyncio.create_task(pay(router))
@@ -152,7 +152,7 @@
 
 
 async def test_sent_call_runs_on_when_the_caller_leaves() -> None:
-    """Guards against a call whose outcome is lost with its caller."""
+    """Guards against losing the outcome when the caller disconnects."""
     hold, called = asyncio.Event(), asyncio.Event()
     upstream = answering(b"good", hold=hold, called=called)
     async with routed(upstream) as router:
@@ -168,7 +168,7 @@
 
 
 class ExpiringClaims(FakeClaims):
-    """The first claim runs out before its call gets a slot."""
+    """The first claim expires before its call gets a slot."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -186,8 +186,9 @@
 async def test_call_that_outlasts_its_claim_claims_again(
     is_released: bool,
 ) -> None:
-    """Guards against refusals long before the deadline, and against a second
-    claim while the first one may still be in force.
+    """An expired claim must not refuse a call long before its deadline.
+
+    The key may be claimed again only after the first claim was released.
     """
     claims = ExpiringClaims()
     claims.release_confirmed = is_released
--- a/tests/router/test_refusals.py
+++ b/tests/router/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals before a request is queued."""
+"""Requests that are refused before they are queued."""
 
 from dataclasses import replace
 from typing import Any
@@ -12,7 +12,7 @@
 CHAT = "/v1/chat/completions"
 MODEL = b'{"model": "small"}'
 
-# Method, path, further headers, body, status and code.
+# Method, path, additional headers, body, expected status and code.
 REFUSALS: list[tuple[str, str, dict[str, str], bytes, int, str]] = [
     ("POST", CHAT, {"authorization": ""}, MODEL, 401, "token_missing"),
     ("POST", CHAT, {"authorization": "Basic x"}, MODEL, 401, "token_missing"),
@@ -85,7 +85,7 @@
     status: int,
     code: str,
 ) -> None:
-    """Guards against a bad request that takes a slot or claims a run."""
+    """Guards against an invalid request that takes a slot or has run."""
     async with routed(ports=(9,)) as router:
         documents = router.configuration.documents_by_service
         documents["other"] = replace(
@@ -116,7 +116,7 @@
 async def test_refused_while_not_serving(
     life_cycle: LifeCycle, is_ready: bool, code: str, path: str
 ) -> None:
-    """Guards against new work at a router that starts or shuts down."""
+    """Guards against requests at a router that is starting or stopping."""
     async with routed(ports=(9,)) as router:
         router.application.life_cycle = life_cycle
         router.configuration.is_ready = is_ready
@@ -130,7 +130,7 @@
 
 
 async def test_token_that_is_withdrawn_is_refused_at_once() -> None:
-    """Guards against an index that outlives the configuration."""
+    """Guards against an access index of an outdated configuration."""
     async with routed(ports=(9,)) as router:
         documents: Any = router.configuration.documents_by_service
         for name, document in documents.items():
--- a/tests/router/test_retries.py
+++ b/tests/router/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries of failed attempts."""
+"""Retries of failed attempts, end to end."""
 
 import asyncio
 import socket
@@ -23,7 +23,7 @@
 
 
 def closed_ports(count: int) -> tuple[int, ...]:
-    """Return ports on which nothing listens."""
+    """Return unused ports."""
     with ExitStack() as stack:
         unused = [stack.enter_context(socket.socket()) for _ in range(count)]
         for item in unused:
@@ -31,8 +31,8 @@
         return tuple(int(item.getsockname()[1]) for item in unused)
 
 
-# Method, path, failing upstream, whether it is retried, and the run state of
-# the refusal if it is not.
+# Method, path, failing upstream, whether the request is retried, and the run
+# state of the refusal otherwise.
 CASES: list[tuple[str, str, Any, bool, str]] = [
     ("POST", "/v1/chat/completions", BROKEN, True, ""),
     ("POST", "/v1/chat/completions", CUT_EVENT, True, ""),
@@ -77,7 +77,7 @@
 
 
 async def test_attempts_are_limited() -> None:
-    """Guards against a request that wears out the whole pool."""
+    """Guards against a request that tries every upstream."""
     async with routed(ports=closed_ports(4)) as router:
         answer = await router.chat()
         assert answer.json()["error"]["code"] == "upstream_unreachable"
@@ -117,7 +117,7 @@
 async def test_waiting_request_is_refused_when_it_gets_into_quarantine() -> (
     None
 ):
-    """Guards against a refusal that comes only with the next free slot."""
+    """Guards against a refusal that is delayed until a slot is free."""
     async with routed(GOOD) as router:
         is_waiting = router.scheduler.hold = asyncio.Event()
         request = asyncio.create_task(router.chat())
--- a/tests/router/test_streams.py
+++ b/tests/router/test_streams.py
@@ -1,4 +1,4 @@
-"""Answers on their way to the caller, whole and broken."""
+"""Forwarding of complete and broken responses, end to end."""
 
 import asyncio
 import json
@@ -44,7 +44,7 @@
 
 
 async def test_answer_keeps_status_headers_and_identity() -> None:
-    """Guards against a proxy that loses or invents parts of an answer."""
+    """Guards against a proxy that drops or adds parts of a response."""
     calls: list[Any] = []
     headers = {"x-a": "1", "set-cookie": "a=b", "connection": "x-b", "x-b": "2"}
     upstream = answering(b"{}", status=418, headers=headers, calls=calls)
@@ -55,7 +55,7 @@
                 headers=AUTHORIZED | {"x-c": "3", "idempotency-key": "k"},
                 content=b"1",
             )
-            # The test's client would send the cookie itself.
+            # Otherwise the test client would send the cookie itself.
             router.client.cookies.clear()
         assert (answer.status_code, answer.content) == (418, b"{}")
         assert answer.headers["x-a"] == "1"
@@ -71,7 +71,7 @@
 
 
 async def test_stream_arrives_event_by_event() -> None:
-    """Guards against a router that collects a stream before it sends it."""
+    """Guards against a router that buffers a whole stream."""
     hold = asyncio.Event()
     async with (
         routed(events(FIRST, hold=hold)) as router,
@@ -102,7 +102,7 @@
 async def test_broken_stream_never_looks_complete(
     parts: tuple[bytes, ...], is_complete: bool
 ) -> None:
-    """Guards against a caller that takes half a text for the whole."""
+    """Guards against a truncated stream that looks complete."""
     async with routed(events(*parts, is_complete=is_complete)) as router:
         body, was_complete = await read(router, "/v1/chat/completions")
         assert not was_complete
@@ -121,7 +121,7 @@
 async def test_broken_whole_answer_breaks_the_transfer(
     headers: dict[str, str],
 ) -> None:
-    """Guards against a short body with a proper end."""
+    """Guards against a truncated body that looks complete."""
     upstream = answering(b"half", headers=headers, is_complete=False)
     async with routed(upstream) as router:
         body, is_complete = await read(router, "/services/swap/x")
@@ -129,7 +129,7 @@
 
 
 async def test_body_without_any_framing_is_refused() -> None:
-    """Guards against a body whose break cannot be told from its end."""
+    """Guards against a body whose truncation cannot be detected."""
 
     async def handle(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -148,7 +148,7 @@
 
 
 async def test_caller_who_leaves_frees_the_slot() -> None:
-    """Guards against work for nobody."""
+    """Guards against a slot that is used for a disconnected caller."""
     hold, called = asyncio.Event(), asyncio.Event()
     async with routed(events(FIRST, hold=hold, called=called)) as router:
         request = asyncio.create_task(router.chat())
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("method", ["HEAD", "GET"])
 @pytest.mark.parametrize("status", [200, 204, 304])
 async def test_answers_without_a_body(method: str, status: int) -> None:
-    """Guards against answers that wait for a body which never comes."""
+    """Guards against waiting for a body that does not exist."""
     upstream = answering(status=status)
     async with routed(upstream) as router:
         for _ in range(2):
@@ -189,7 +189,7 @@
 
 
 def test_event_without_transition_is_counted() -> None:
-    """Guards against a request that fails because of its own record."""
+    """Guards against a request that fails because of a state chart bug."""
     telemetry = Mock()
     in_flight = InFlight(lambda: 0.0, telemetry)
     track = RequestTrack("id", "GET", "/", 0.0)
@@ -202,7 +202,7 @@
 
 @pytest.mark.parametrize("size", range(1, 8))
 def test_gate_passes_whole_events_only(size: int) -> None:
-    """Guards against an error event inside a broken one."""
+    """An error event must not follow an incomplete event."""
     data = b"data: a\n\ndata: b\r\n\r\ndata: c\n\ndata: d"
     gate, passed = EventGate(), b""
     for start in range(0, len(data), size):
@@ -226,7 +226,7 @@
     ],
 )
 def test_tail(text: bytes, is_complete: bool, tokens: int) -> None:
-    """Guards against generated text that is taken for the end marker."""
+    """Guards against generated text that looks like the end marker."""
     tail = AnswerTail()
     for start in range(0, len(text), 5):
         tail.add(text[start : start + 5])
