--- a/packages/router/src/lacewingspar_router/components/caller_api/answer_body.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/answer_body.py
@@ -4,8 +4,8 @@
 
 from lacewingspar_router.components.caller_api.const import (
     END_MARKER,
-    MAX_HELD_EVENT_BYTES,
-    TAIL_BYTES,
+    MAX_BUFFERED_EVENT_BYTES,
+    RESPONSE_TAIL_BYTES,
 )
 
 # Quotes within a JSON string are escaped, so generated text cannot match.
@@ -13,7 +13,7 @@
 _EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
 
-class AnswerTail:
+class ResponseTail:
     """Keeps the end of a response body."""
 
     def __init__(self) -> None:
@@ -22,8 +22,8 @@
     def add(self, part: bytes) -> None:
         """Append a chunk of the body."""
         self._tail += part
-        if len(self._tail) > 2 * TAIL_BYTES:
-            del self._tail[:-TAIL_BYTES]
+        if len(self._tail) > 2 * RESPONSE_TAIL_BYTES:
+            del self._tail[:-RESPONSE_TAIL_BYTES]
 
     @property
     def has_end_marker(self) -> bool:
@@ -38,7 +38,7 @@
         return int(found[-1]) if found else 0
 
 
-class EventGate:
+class CompleteEventBuffer:
     """Buffers an event stream and releases only complete events.
 
     If the stream breaks, an error event follows. It would merge with an event
@@ -46,24 +46,28 @@
     """
 
     def __init__(self) -> None:
-        self._held = b""
+        self._buffer = b""
 
     def push(self, part: bytes) -> bytes:
         """Append a chunk of the stream and return the complete events."""
         # Fast path: inference engines usually send complete events.
-        if not self._held and part.endswith(_EVENT_ENDS):
+        if not self._buffer and part.endswith(_EVENT_ENDS):
             return part
-        data = self._held + part if self._held else part
+        data = self._buffer + part if self._buffer else part
         end = max(
-            (data.rfind(mark) + len(mark) if mark in data else 0)
-            for mark in _EVENT_ENDS
+            (
+                data.rfind(end_marker) + len(end_marker)
+                if end_marker in data
+                else 0
+            )
+            for end_marker in _EVENT_ENDS
         )
-        if end == 0 and len(data) > MAX_HELD_EVENT_BYTES:
+        if end == 0 and len(data) > MAX_BUFFERED_EVENT_BYTES:
             end = len(data)
-        self._held = data[end:]
+        self._buffer = data[end:]
         return data[:end]
 
     def flush(self) -> bytes:
         """Return the buffered rest and clear the buffer."""
-        held, self._held = self._held, b""
-        return held
+        rest, self._buffer = self._buffer, b""
+        return rest
--- a/packages/router/src/lacewingspar_router/components/caller_api/calls.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/calls.py
@@ -11,7 +11,7 @@
 )
 from lacewingspar_router.components.caller_api.exchange import Exchange
 from lacewingspar_router.components.caller_api.in_flight import (
-    InFlight,
+    InFlightRequests,
     RequestTrack,
 )
 from lacewingspar_router.components.caller_api.refusals import (
@@ -24,8 +24,8 @@
     Retries,
 )
 from lacewingspar_router.components.caller_api.slot_use import SlotUse
-from lacewingspar_router.components.caller_api.slot_wait import SlotWait
-from lacewingspar_router.components.caller_api.streaming import AnswerTransfer
+from lacewingspar_router.components.caller_api.slot_wait import SlotAcquirer
+from lacewingspar_router.components.caller_api.streaming import ResponseTransfer
 from lacewingspar_router.components.claims.models import (
     ClaimAnswered,
     ClaimGranted,
@@ -41,8 +41,8 @@
 )
 from lacewingspar_router.components.upstreams.models import (
     UPSTREAMS,
-    UpstreamAnswer,
     UpstreamCall,
+    UpstreamResponse,
 )
 from lacewingspar_router.errors import RequestRefusedError, RunState
 
@@ -77,11 +77,13 @@
         in_flight: Requests in flight.
     """
 
-    def __init__(self, application: Application, in_flight: InFlight) -> None:
+    def __init__(
+        self, application: Application, in_flight: InFlightRequests
+    ) -> None:
         self._now = application.now
         self._claims = CallClaims(application)
         self._quarantine = application.get(QUARANTINE)
-        self._slots = SlotWait(application)
+        self._slots = SlotAcquirer(application)
         self._upstreams = application.get(UPSTREAMS)
         self._telemetry = application.get(TELEMETRY)
         self._in_flight = in_flight
@@ -105,7 +107,7 @@
         attempts = self.retries.begin(request)
         while True:
             if request.idempotency_key is not None:
-                self._in_flight.apply(track, "claim")
+                self._in_flight.apply_event(track, "claim")
             claim = await self._claims.async_claim(request)
             if isinstance(claim, ClaimAnswered):
                 track.run = RunState.RAN
@@ -115,17 +117,17 @@
             try:
                 return await self._async_attempts(call, attempts)
             except RequestRefusedError as error:
-                await self._async_give_up(call, error)
+                await self._async_release_unused_claim(call, error)
                 if not self._may_claim_again(call, error):
                     raise
             except asyncio.CancelledError:
                 if claim is not None and track.run is RunState.NOT_RUN:
-                    self._in_flight.apply(track, "release_claim")
+                    self._in_flight.apply_event(track, "release_claim")
                     self._claims.release(claim, was_sent=track.outlives_caller)
                     track.run = RunState.UNKNOWN
                 raise
 
-    async def _async_give_up(
+    async def _async_release_unused_claim(
         self, call: Call, error: RequestRefusedError
     ) -> None:
         """Set the run state of a refusal and release the unused claim."""
@@ -134,8 +136,8 @@
         if track.run is not RunState.NOT_RUN:
             error.run = track.run
         elif call.claim is not None:
-            self._in_flight.apply(track, "release_claim")
-            await self._claims.async_give_up(
+            self._in_flight.apply_event(track, "release_claim")
+            await self._claims.async_release_refused(
                 call.claim, error, was_sent=track.outlives_caller
             )
 
@@ -175,7 +177,9 @@
                 confirmation = self._confirm_crash(use, error)
                 self._end_run(use)
                 attempts.failed_upstreams.add(use.upstream_id)
-                self._in_flight.hop(call.track, "failed", use.upstream_id)
+                self._in_flight.record_hop(
+                    call.track, "failed", use.upstream_id
+                )
                 if call.exchange.is_started:
                     await call.exchange.async_interrupt(str(error))
                     return "interrupted"
@@ -194,14 +198,16 @@
             # The call must not be sent after its claim expires.
             deadline_at = min(deadline_at, call.claim.send_before)
         is_retry = bool(attempts.failed_upstreams)
-        self._in_flight.apply(call.track, "retry" if is_retry else "enqueue")
-        self._in_flight.hop(call.track, "queue")
+        self._in_flight.apply_event(
+            call.track, "retry" if is_retry else "enqueue"
+        )
+        self._in_flight.record_hop(call.track, "queue")
         with self._telemetry.span("queue", trace_parent=request.trace_parent):
             use = await self._slots.async_acquire(
                 request, call.subject, attempts, deadline_at
             )
-        self._in_flight.apply(call.track, "bind")
-        self._in_flight.hop(call.track, "slot", use.upstream_id)
+        self._in_flight.apply_event(call.track, "bind")
+        self._in_flight.record_hop(call.track, "slot", use.upstream_id)
         return use
 
     def _confirm_crash(
@@ -219,18 +225,18 @@
 
     async def _async_attempt(self, call: Call, use: SlotUse) -> str:
         """Send a request to one upstream and forward its response."""
-        answer = await self._async_send(call, use)
-        self._in_flight.hop(call.track, "head", use.upstream_id)
+        response = await self._async_send(call, use)
+        self._in_flight.record_hop(call.track, "head", use.upstream_id)
         try:
             with self._telemetry.span(
                 "stream", trace_parent=call.request.trace_parent
             ):
-                await self._async_pass_on(call, use, answer)
+                await self._async_forward(call, use, response)
         finally:
-            await answer.async_close()
+            await response.async_close()
         return "completed"
 
-    async def _async_send(self, call: Call, use: SlotUse) -> UpstreamAnswer:
+    async def _async_send(self, call: Call, use: SlotUse) -> UpstreamResponse:
         """Send a request to one upstream and wait for the response head."""
         request, track = call.request, call.track
         with self._telemetry.span(
@@ -256,15 +262,15 @@
                     track.run = run_before
                 raise
 
-    async def _async_pass_on(
-        self, call: Call, use: SlotUse, answer: UpstreamAnswer
+    async def _async_forward(
+        self, call: Call, use: SlotUse, response: UpstreamResponse
     ) -> None:
         """Forward a response, release the slot and record the outcome."""
-        transfer = AnswerTransfer(
+        transfer = ResponseTransfer(
             call.request,
             call.exchange,
-            answer,
-            lambda: self._in_flight.apply(call.track, "answer_started"),
+            response,
+            lambda: self._in_flight.apply_event(call.track, "answer_started"),
         )
         await transfer.async_run()
         if use.run is not None:
@@ -272,7 +278,9 @@
         use.release(SlotOutcome.COMPLETED, transfer.tokens)
         call.track.run = RunState.RAN
         if call.claim is not None:
-            self._claims.record_outcome(call.claim, transfer.kept_answer())
+            self._claims.record_outcome(
+                call.claim, transfer.recorded_response()
+            )
         await transfer.async_finish()
 
 
--- a/packages/router/src/lacewingspar_router/components/caller_api/checks.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/checks.py
@@ -96,8 +96,10 @@
         body = await exchange.async_read_body(document.limits.body_bytes)
         model = _model_of_service(document, target, body)
     else:
-        body = await exchange.async_read_body(_largest_body(index, workspaces))
-        model = _model_in(body)
+        body = await exchange.async_read_body(
+            _max_body_bytes(index, workspaces)
+        )
+        model = _parse_model(body)
         service = index.service_of_model(model, workspaces)
         if service is None:
             raise _unknown_model(model)
@@ -145,7 +147,7 @@
     return document
 
 
-def _largest_body(
+def _max_body_bytes(
     index: AccessIndex, workspaces: Mapping[str, Workspace]
 ) -> int:
     """Return the maximum body size over the caller's model services."""
@@ -178,13 +180,13 @@
     """Return the model that a call to a named service requests, or ""."""
     if document.kind is not ServiceKind.MODEL or not target.has_model:
         return ""
-    model = _model_in(body)
+    model = _parse_model(body)
     if not any(model in upstream.models for upstream in document.upstreams):
         raise _unknown_model(model)
     return model
 
 
-def _model_in(body: bytes) -> str:
+def _parse_model(body: bytes) -> str:
     try:
         model = msgspec.json.decode(body, type=_ModelBody).model
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
--- a/packages/router/src/lacewingspar_router/components/caller_api/claimed.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/claimed.py
@@ -5,8 +5,8 @@
 
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.caller_api.const import (
+    CLAIM_RELEASE_TIMEOUT_SECONDS,
     HEADER_REPLAYED,
-    RELEASE_LIMIT_SECONDS,
     RETRY_AFTER_CLAIM_SECONDS,
     RETRY_AFTER_STATE_SECONDS,
 )
@@ -90,10 +90,10 @@
         return self._claims.may_send(claim)
 
     def record_outcome(
-        self, claim: ClaimGranted, answer: ClaimAnswered
+        self, claim: ClaimGranted, response: ClaimAnswered
     ) -> None:
         """Record the first response of a call."""
-        self._claims.record_outcome(claim, answer)
+        self._claims.record_outcome(claim, response)
 
     def release(
         self, claim: ClaimGranted, *, was_sent: bool = False
@@ -104,7 +104,7 @@
             "claim release",
         )
 
-    async def async_give_up(
+    async def async_release_refused(
         self,
         claim: ClaimGranted,
         error: RequestRefusedError,
@@ -118,7 +118,9 @@
         """
         error.run = RunState.UNKNOWN
         task = self.release(claim, was_sent=was_sent)
-        done, _ = await asyncio.wait({task}, timeout=RELEASE_LIMIT_SECONDS)
+        done, _ = await asyncio.wait(
+            {task}, timeout=CLAIM_RELEASE_TIMEOUT_SECONDS
+        )
         if done and task.exception() is None and task.result():
             error.run = RunState.NOT_RUN
 
@@ -135,13 +137,13 @@
         task.add_done_callback(on_done)
 
 
-async def async_replay(exchange: Exchange, answer: ClaimAnswered) -> None:
+async def async_replay(exchange: Exchange, response: ClaimAnswered) -> None:
     """Send the recorded first response of a call to the caller.
 
     Raises:
         RequestRefusedError: The response body was too large to be recorded.
     """
-    if answer.body is None:
+    if response.body is None:
         raise RequestRefusedError(
             409,
             "answer_not_kept",
@@ -149,10 +151,10 @@
             run=RunState.RAN,
         )
     headers = [
-        (b"content-type", answer.content_type.encode("latin-1")),
+        (b"content-type", response.content_type.encode("latin-1")),
         (HEADER_REPLAYED, b"true"),
     ]
-    await exchange.async_answer(answer.status, headers, answer.body)
+    await exchange.async_send_response(response.status, headers, response.body)
 
 
 def _claim_timeout() -> RequestRefusedError:
--- a/packages/router/src/lacewingspar_router/components/caller_api/exchange.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/exchange.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lacewingspar_router.components.caller_api.const import (
-    BODY_IDLE_SECONDS,
+    BODY_READ_TIMEOUT_SECONDS,
     RETRY_AFTER_FAILURE_SECONDS,
 )
 from lacewingspar_router.components.caller_api.errors import CallerGoneError
@@ -76,14 +76,16 @@
                 self.must_close = False
                 return parts[0] if len(parts) == 1 else b"".join(parts)
 
-    async def async_wait_gone(self) -> None:
+    async def async_wait_disconnected(self) -> None:
         """Wait until the caller closes the connection."""
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
                 return
 
-    async def async_send_head(self, status: int, headers: RawHeaders) -> None:
+    async def async_send_response_head(
+        self, status: int, headers: RawHeaders
+    ) -> None:
         """Send the status and the headers of the response."""
         self.is_started = True
         added = [
@@ -100,7 +102,7 @@
             }
         )
 
-    async def async_send_part(self, data: bytes) -> None:
+    async def async_send_chunk(self, data: bytes) -> None:
         """Send a chunk of the body."""
         await self._send(
             {"type": "http.response.body", "body": data, "more_body": True}
@@ -113,17 +115,17 @@
             {"type": "http.response.body", "body": data, "more_body": False}
         )
 
-    async def async_answer(
+    async def async_send_response(
         self, status: int, headers: RawHeaders, body: bytes
     ) -> None:
         """Send a complete response."""
         length = (b"content-length", b"%d" % len(body))
-        await self.async_send_head(status, [*headers, length])
+        await self.async_send_response_head(status, [*headers, length])
         await self.async_finish(body)
 
-    async def async_answer_json(self, status: int, value: Any) -> None:
+    async def async_send_json(self, status: int, value: Any) -> None:
         """Send a complete response with a JSON body."""
-        await self.async_answer(
+        await self.async_send_response(
             status, [(b"content-type", _JSON)], msgspec.json.encode(value)
         )
 
@@ -136,7 +138,7 @@
             seconds = max(1, math.ceil(error.retry_after_seconds))
             headers.append((b"retry-after", b"%d" % seconds))
         body = msgspec.json.encode(refusal_value(error, self.request_id))
-        await self.async_answer(error.status, headers, body)
+        await self.async_send_response(error.status, headers, body)
 
     async def async_interrupt(self, message: str) -> None:
         """Abort a response whose head was already sent.
@@ -154,17 +156,17 @@
             retry_after_seconds=RETRY_AFTER_FAILURE_SECONDS,
         )
         value = msgspec.json.encode(refusal_value(error, self.request_id))
-        await self.async_send_part(b"data: " + value + b"\n\n")
+        await self.async_send_chunk(b"data: " + value + b"\n\n")
 
     async def _async_receive(self) -> Any:
         try:
-            async with asyncio.timeout(BODY_IDLE_SECONDS):
+            async with asyncio.timeout(BODY_READ_TIMEOUT_SECONDS):
                 message = await self._receive()
         except TimeoutError as error:
             raise RequestRefusedError(
                 408,
                 "body_timeout",
-                f"no data of the body arrived for {BODY_IDLE_SECONDS:g} s",
+                f"no body data arrived for {BODY_READ_TIMEOUT_SECONDS:g} s",
             ) from error
         if message["type"] == "http.disconnect":
             raise CallerGoneError("the caller closed the connection")
--- a/packages/router/src/lacewingspar_router/components/caller_api/in_flight.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/in_flight.py
@@ -11,7 +11,7 @@
 from lacewingspar_core.chart import load_chart
 from lacewingspar_core.errors import ChartEventError
 from lacewingspar_router.components.caller_api.const import (
-    KEPT_PATHS,
+    MAX_RECENT_PATHS,
     METRIC_CHART_ERRORS,
 )
 from lacewingspar_router.components.telemetry.models import Telemetry
@@ -78,7 +78,7 @@
         }
 
 
-class InFlight:
+class InFlightRequests:
     """Requests in flight at this router and recently finished ones.
 
     Args:
@@ -103,7 +103,7 @@
         """Return the number of requests in flight."""
         return len(self._running)
 
-    def enter(self, request_id: str, method: str, target: str) -> RequestTrack:
+    def begin(self, request_id: str, method: str, target: str) -> RequestTrack:
         """Register a request that the current task handles."""
         track = RequestTrack(request_id, method, target, self._now())
         task = asyncio.current_task()
@@ -113,21 +113,23 @@
         self._empty.clear()
         return track
 
-    def keep(self, track: RequestTrack) -> None:
+    def retain(self, track: RequestTrack) -> None:
         """Retain the progress of a valid request for later queries.
 
         The number of retained requests is limited. Requests without a valid
         token are not retained, so that they cannot displace others.
         """
         self._tracks[track.request_id] = track
-        if len(self._tracks) > KEPT_PATHS:
+        if len(self._tracks) > MAX_RECENT_PATHS:
             self._tracks.popitem(last=False)
 
-    def hop(self, track: RequestTrack, name: str, upstream: str = "") -> None:
+    def record_hop(
+        self, track: RequestTrack, name: str, upstream: str = ""
+    ) -> None:
         """Record that a request has reached a processing step."""
         track.hops.append((name, self._now(), upstream))
 
-    def apply(self, track: RequestTrack, event: str) -> None:
+    def apply_event(self, track: RequestTrack, event: str) -> None:
         """Apply an event to the state of a request.
 
         An event without a transition is a bug in the router. It does not
@@ -145,10 +147,10 @@
                 METRIC_CHART_ERRORS, state=track.state, event=event
             )
 
-    def leave(self, track: RequestTrack, outcome: str) -> None:
+    def end(self, track: RequestTrack, outcome: str) -> None:
         """Record the outcome of a request that is no longer in flight."""
         track.outcome = outcome
-        self.hop(track, "end")
+        self.record_hop(track, "end")
         self._running.pop(track.request_id, None)
         if not self._running:
             self._empty.set()
--- a/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/proxy.py
@@ -23,7 +23,7 @@
     Send,
 )
 from lacewingspar_router.components.caller_api.in_flight import (
-    InFlight,
+    InFlightRequests,
     RequestTrack,
 )
 from lacewingspar_router.components.caller_api.refusals import (
@@ -57,7 +57,7 @@
         self._application = application
         self._configuration = application.get(CONFIGURATION)
         self._telemetry = application.get(TELEMETRY)
-        self.in_flight = InFlight(application.now, self._telemetry)
+        self.in_flight = InFlightRequests(application.now, self._telemetry)
         self._calls = CallRunner(application, self.in_flight)
         self._index = AccessIndex({})
 
@@ -93,7 +93,7 @@
         if scope["type"] != "http":
             return
         exchange = Exchange(scope, receive, send, uuid.uuid4().hex)
-        track = self.in_flight.enter(
+        track = self.in_flight.begin(
             exchange.request_id, scope["method"], scope["path"]
         )
         outcome = "failed"
@@ -106,9 +106,9 @@
                 request_id=exchange.request_id,
             ) as trace_parent:
                 exchange.trace_parent = trace_parent
-                outcome = await self._async_answer(exchange, track)
+                outcome = await self._async_respond(exchange, track)
         finally:
-            self.in_flight.leave(track, outcome)
+            self.in_flight.end(track, outcome)
             self._telemetry.count(
                 "requests_total",
                 service=track.service,
@@ -116,25 +116,25 @@
                 outcome=outcome,
             )
 
-    async def _async_answer(
+    async def _async_respond(
         self, exchange: Exchange, track: RequestTrack
     ) -> str:
         """Respond to one request and return its outcome."""
         try:
-            outcome = await self._async_checked(exchange, track)
-            self.in_flight.apply(track, _end_event(track, outcome))
+            outcome = await self._async_process(exchange, track)
+            self.in_flight.apply_event(track, _end_event(track, outcome))
             return outcome
         except RequestRefusedError as error:
             track.run = error.run
-            self.in_flight.apply(track, _refusal_event(track))
+            self.in_flight.apply_event(track, _refusal_event(track))
             if not exchange.is_started:
                 await exchange.async_refuse(error)
             return error.code
         except CallerGoneError:
-            self.in_flight.apply(track, "cancel")
+            self.in_flight.apply_event(track, "cancel")
             return "caller_gone"
         except asyncio.CancelledError:
-            self.in_flight.apply(track, "cancel")
+            self.in_flight.apply_event(track, "cancel")
             if not track.is_cut:
                 return "caller_gone"
             if exchange.is_started:
@@ -144,12 +144,12 @@
             return "cut"
         except Exception:
             _LOGGER.exception("request failed", request_id=exchange.request_id)
-            self.in_flight.apply(track, "fail")
+            self.in_flight.apply_event(track, "fail")
             if not exchange.is_started:
                 await exchange.async_refuse(internal_error(track.run))
             return "internal_error"
 
-    async def _async_checked(
+    async def _async_process(
         self, exchange: Exchange, track: RequestTrack
     ) -> str:
         self._check_state()
@@ -159,18 +159,18 @@
         if target.is_model_list:
             await exchange.async_read_body(0)
             track.run = RunState.RAN
-            await exchange.async_answer_json(
-                200, _model_list(index, workspaces)
-            )
+            await exchange.async_send_json(200, _model_list(index, workspaces))
             return "completed"
         request = await async_check_request(
             exchange, target, index, workspaces, track.arrived_at
         )
         track.service = request.document.service
         track.workspace = request.workspace.name
-        self.in_flight.keep(track)
+        self.in_flight.retain(track)
         watcher = asyncio.create_task(
-            _async_cancel_when_gone(exchange, track, asyncio.current_task())
+            _async_cancel_when_disconnected(
+                exchange, track, asyncio.current_task()
+            )
         )
         try:
             return await self._calls.async_run(request, exchange, track)
@@ -196,11 +196,11 @@
             )
 
 
-async def _async_cancel_when_gone(
+async def _async_cancel_when_disconnected(
     exchange: Exchange, track: RequestTrack, task: asyncio.Task[Any] | None
 ) -> None:
     """Cancel a request when its caller disconnects."""
-    await exchange.async_wait_gone()
+    await exchange.async_wait_disconnected()
     must_run_on = exchange.is_finished or track.outlives_caller
     if task is not None and not must_run_on:
         task.cancel()
--- a/packages/router/src/lacewingspar_router/components/caller_api/retrying.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/retrying.py
@@ -73,7 +73,7 @@
         """
         decision = self._policy.decide(
             _failed_attempt(request, attempts, error),
-            _upstreams_of(request),
+            _upstreams_with_model(request),
             request.document.limits.attempts,
         )
         if (
@@ -92,11 +92,11 @@
         Only the owners know the length of the queue, so the value depends only
         on whether an upstream accepts new requests.
         """
-        usable = upstreams_with_new_work(request, self._upstreams)
+        usable = available_upstreams(request, self._upstreams)
         return retry_after_seconds(0, len(usable), 0.0)
 
 
-def upstreams_with_new_work(
+def available_upstreams(
     request: CallerRequest, pool: UpstreamPool
 ) -> frozenset[str]:
     """Return the upstreams that have the model and accept new requests."""
@@ -104,13 +104,13 @@
     statuses = pool.status_by_upstream
     return frozenset(
         name
-        for name in _upstreams_of(request)
+        for name in _upstreams_with_model(request)
         if (status := statuses.get((service, name)))
         and status.state in _STATES_WITH_NEW_WORK
     )
 
 
-def _upstreams_of(request: CallerRequest) -> frozenset[str]:
+def _upstreams_with_model(request: CallerRequest) -> frozenset[str]:
     """Return the upstreams that have the model of a request."""
     return frozenset(
         upstream.id
--- a/packages/router/src/lacewingspar_router/components/caller_api/slot_wait.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/slot_wait.py
@@ -4,7 +4,7 @@
 
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.caller_api.const import (
-    SUSPECT_QUEUE_SECONDS,
+    SUSPECT_RECHECK_SECONDS,
 )
 from lacewingspar_router.components.caller_api.refusals import (
     quarantined,
@@ -13,7 +13,7 @@
 from lacewingspar_router.components.caller_api.requests import CallerRequest
 from lacewingspar_router.components.caller_api.retrying import (
     Attempts,
-    upstreams_with_new_work,
+    available_upstreams,
 )
 from lacewingspar_router.components.caller_api.slot_use import SlotUse
 from lacewingspar_router.components.quarantine.errors import (
@@ -31,7 +31,7 @@
 from lacewingspar_router.components.upstreams.models import UPSTREAMS
 
 
-class SlotWait:
+class SlotAcquirer:
     """Acquires slots for requests and isolates suspect requests.
 
     Args:
@@ -103,7 +103,7 @@
                 request, subject, excluded, deadline_at
             )
             # Other upstreams may become free of suspects during the wait.
-            limit_seconds = SUSPECT_QUEUE_SECONDS
+            limit_seconds = SUSPECT_RECHECK_SECONDS
         try:
             async with asyncio.timeout(limit_seconds) as limit:
                 self._limit_by_subject[subject] = limit
@@ -125,7 +125,7 @@
         """Wait until a suspect may run and return the excluded upstreams."""
 
         def usable() -> frozenset[str]:
-            return upstreams_with_new_work(request, self._upstreams) - failed
+            return available_upstreams(request, self._upstreams) - failed
 
         try:
             return await self._quarantine.async_busy_upstreams(
--- a/packages/router/src/lacewingspar_router/components/caller_api/streaming.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/streaming.py
@@ -4,11 +4,11 @@
 
 from lacewingspar_core.documents import ServiceKind
 from lacewingspar_router.components.caller_api.answer_body import (
-    AnswerTail,
-    EventGate,
+    CompleteEventBuffer,
+    ResponseTail,
 )
 from lacewingspar_router.components.caller_api.const import (
-    MAX_KEPT_ANSWER_BYTES,
+    MAX_RECORDED_RESPONSE_BYTES,
 )
 from lacewingspar_router.components.caller_api.exchange import Exchange
 from lacewingspar_router.components.caller_api.requests import CallerRequest
@@ -16,7 +16,7 @@
 from lacewingspar_router.components.upstreams.errors import (
     UpstreamBrokenError,
 )
-from lacewingspar_router.components.upstreams.models import UpstreamAnswer
+from lacewingspar_router.components.upstreams.models import UpstreamResponse
 from lacewingspar_router.errors import RunState
 from lacewingspar_router.http_headers import RawHeaders
 
@@ -26,13 +26,13 @@
 _STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
 
-class AnswerTransfer:
+class ResponseTransfer:
     """Forwards one response and checks that it is complete.
 
     Args:
         request: The request.
         exchange: HTTP exchange with the caller.
-        answer: Response of the upstream.
+        response: Response of the upstream.
         on_start: Called before the response head is sent to the caller.
     """
 
@@ -40,24 +40,24 @@
         self,
         request: CallerRequest,
         exchange: Exchange,
-        answer: UpstreamAnswer,
+        response: UpstreamResponse,
         on_start: Callable[[], None],
     ) -> None:
         self._on_start = on_start
         self._exchange = exchange
-        self._answer = answer
-        self._content_type = dict(answer.headers).get("content-type", "")
+        self._response = response
+        self._content_type = dict(response.headers).get("content-type", "")
         self._is_model = request.document.kind is ServiceKind.MODEL
         self._is_event_stream = (
             self._is_model
-            and answer.status == 200
+            and response.status == 200
             and self._content_type.startswith(_EVENT_STREAM)
         )
-        self._keeps = request.idempotency_key is not None
-        self._kept: list[bytes] | None = []
-        self._kept_bytes = 0
-        self._tail = AnswerTail()
-        self._gate = EventGate()
+        self._must_record = request.idempotency_key is not None
+        self._recorded_chunks: list[bytes] | None = []
+        self._recorded_bytes = 0
+        self._tail = ResponseTail()
+        self._event_buffer = CompleteEventBuffer()
 
     @property
     def tokens(self) -> int:
@@ -70,12 +70,14 @@
         Raises:
             UpstreamError: The body is incomplete.
         """
-        async for part in self._answer.body():
+        async for part in self._response.body():
             if self._is_model:
                 self._tail.add(part)
-            if self._keeps:
-                self._keep(part)
-            ready = self._gate.push(part) if self._is_event_stream else part
+            if self._must_record:
+                self._record(part)
+            ready = (
+                self._event_buffer.push(part) if self._is_event_stream else part
+            )
             if ready:
                 await self._async_send(ready)
         if not self._is_event_stream:
@@ -84,49 +86,55 @@
             raise UpstreamBrokenError(
                 "the stream ended without its end marker", run=RunState.UNKNOWN
             )
-        rest = self._gate.flush()
+        rest = self._event_buffer.flush()
         if rest:
             await self._async_send(rest)
 
     async def async_finish(self) -> None:
         """Finish the response."""
-        await self._async_send_head()
+        await self._async_send_response_head()
         await self._exchange.async_finish()
 
-    def kept_answer(self) -> ClaimAnswered:
+    def recorded_response(self) -> ClaimAnswered:
         """Return the response to record for later attempts of the call."""
-        body = None if self._kept is None else b"".join(self._kept)
-        return ClaimAnswered(self._answer.status, self._content_type, body)
+        body = (
+            None
+            if self._recorded_chunks is None
+            else b"".join(self._recorded_chunks)
+        )
+        return ClaimAnswered(self._response.status, self._content_type, body)
 
     async def _async_send(self, data: bytes) -> None:
-        await self._async_send_head()
-        await self._exchange.async_send_part(data)
+        await self._async_send_response_head()
+        await self._exchange.async_send_chunk(data)
 
-    async def _async_send_head(self) -> None:
+    async def _async_send_response_head(self) -> None:
         if self._exchange.is_started:
             return
         self._on_start()
         self._exchange.is_event_stream = self._is_event_stream
-        await self._exchange.async_send_head(self._answer.status, self._head())
+        await self._exchange.async_send_response_head(
+            self._response.status, self._response_headers()
+        )
 
-    def _head(self) -> RawHeaders:
+    def _response_headers(self) -> RawHeaders:
         removed = _REPLACED_HEADERS
         if (
             # An error event may follow and exceed the content length.
             self._is_event_stream
             # No body is sent, so the length would be wrong.
-            or self._answer.status in _STATUSES_WITHOUT_BODY
+            or self._response.status in _STATUSES_WITHOUT_BODY
         ):
             removed = removed | {"content-length"}
         return [
             (name.encode("latin-1"), value.encode("latin-1"))
-            for name, value in self._answer.headers
+            for name, value in self._response.headers
             if name not in removed
         ]
 
-    def _keep(self, part: bytes) -> None:
-        self._kept_bytes += len(part)
-        if self._kept_bytes > MAX_KEPT_ANSWER_BYTES:
-            self._kept = None
-        if self._kept is not None:
-            self._kept.append(part)
+    def _record(self, part: bytes) -> None:
+        self._recorded_bytes += len(part)
+        if self._recorded_bytes > MAX_RECORDED_RESPONSE_BYTES:
+            self._recorded_chunks = None
+        if self._recorded_chunks is not None:
+            self._recorded_chunks.append(part)
--- a/packages/router/src/lacewingspar_router/components/claims/const.py
+++ b/packages/router/src/lacewingspar_router/components/claims/const.py
@@ -4,7 +4,7 @@
 LONG_POLL_SECONDS = 5.0
 # Delay after a failed read or append, which limits the request rate during an
 # outage.
-RETRY_SECONDS = 0.5
+RETRY_DELAY_SECONDS = 0.5
 # Longest wait until a claim is read back. Half of the time within which a claim
 # may be used, so that enough time is left to send the call.
 CLAIM_TIMEOUT_SECONDS = 5.0
--- a/packages/router/src/lacewingspar_router/components/claims/models.py
+++ b/packages/router/src/lacewingspar_router/components/claims/models.py
@@ -110,7 +110,7 @@
         """
 
     def record_outcome(
-        self, claim: ClaimGranted, answer: ClaimAnswered
+        self, claim: ClaimGranted, response: ClaimAnswered
     ) -> None:
         """Record the first response for later attempts, in the background."""
 
--- a/packages/router/src/lacewingspar_router/components/claims/registry.py
+++ b/packages/router/src/lacewingspar_router/components/claims/registry.py
@@ -37,7 +37,7 @@
     METRIC_CLAIM_ENTRIES,
     METRIC_CLAIMS,
     RELEASE_TIMEOUT_SECONDS,
-    RETRY_SECONDS,
+    RETRY_DELAY_SECONDS,
 )
 from lacewingspar_router.components.claims.models import (
     ClaimAnswered,
@@ -98,7 +98,7 @@
         self._waiting_by_sequence: dict[int, _WaitingClaim] = {}
         self._unsent_by_offset: dict[int, OwnClaim] = {}
         self._changed = asyncio.Event()
-        self._writers: set[asyncio.Task[None]] = set()
+        self._write_tasks: set[asyncio.Task[None]] = set()
 
     async def async_claim(
         self, *, service: str, workspace: str, key: str, digest: bytes
@@ -136,15 +136,15 @@
         return bool(done) and self._state.entry_at(offset) is None
 
     def record_outcome(
-        self, claim: ClaimGranted, answer: ClaimAnswered
+        self, claim: ClaimGranted, response: ClaimAnswered
     ) -> None:
         """Record the first response for later attempts, in the background."""
         offset = claim.claim_offset
-        body = answer.body
+        body = response.body
         if body is not None and len(body) > OUTCOME_BODY_BYTES:
             body = None
         self._write(
-            Outcome(offset, answer.status, answer.content_type, body),
+            Outcome(offset, response.status, response.content_type, body),
             lambda: (
                 (entry := self._state.entry_at(offset)) is None
                 or entry.outcome is not None
@@ -168,18 +168,18 @@
                         "cannot read claim stream", error=str(error)
                     )
                 self._is_current = False
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
             else:
                 await self._async_add_page(page)
 
     async def async_unload(self) -> None:
         """Wait until pending outcomes and releases are written."""
-        if self._writers:
-            await asyncio.wait(self._writers, timeout=FLUSH_TIMEOUT_SECONDS)
-        if self._writers:
+        if self._write_tasks:
+            await asyncio.wait(self._write_tasks, timeout=FLUSH_TIMEOUT_SECONDS)
+        if self._write_tasks:
             _LOGGER.warning(
                 "outcomes or releases not written before shutdown",
-                count=len(self._writers),
+                count=len(self._write_tasks),
             )
 
     def _decide_without_claim(
@@ -188,7 +188,7 @@
         """Return the decision on a key, or None if it needs a new claim."""
         entry = self._state.entry_of(scoped_key)
         if entry is not None:
-            return self._answer(entry, digest)
+            return self._decide_claimed_key(entry, digest)
         # The newest record is a lower bound if this router's clock is slow.
         now_ms = max(int(time.time() * 1000), self._state.newest_ms)
         if not self._is_current:
@@ -197,7 +197,9 @@
             return ClaimKeyExpired()
         return None
 
-    def _answer(self, entry: ClaimEntry, digest: bytes) -> ClaimDecision:
+    def _decide_claimed_key(
+        self, entry: ClaimEntry, digest: bytes
+    ) -> ClaimDecision:
         """Return the decision on another attempt with a claimed key."""
         if entry.claim.digest != digest:
             return ClaimKeyReused()
@@ -253,7 +255,7 @@
         except RecordGapError as error:
             _LOGGER.error("gap in claim stream", error=str(error))
             self._is_current = False
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
 
     def _add_page(self, page: LogPage) -> None:
         state = self._state
@@ -272,19 +274,19 @@
             return
         apply_claim_record(self._state, stored.offset, stored.time_ms, record)
         if isinstance(record, Claim) and record.life == self._app.life:
-            self._settle_own_claim(stored.offset, record)
+            self._decide_own_claim(stored.offset, record)
 
-    def _settle_own_claim(self, offset: int, claim: Claim) -> None:
+    def _decide_own_claim(self, offset: int, claim: Claim) -> None:
         """Decide a claim of this router that was read back.
 
         A claim that lost, or whose caller no longer waits, is released.
         """
         entry = self._state.entry_at(offset)
         waiting = self._waiting_by_sequence.pop(claim.sequence, None)
-        is_wanted = waiting is not None and not waiting.decision.done()
-        if entry is None or not entry.has_won or not is_wanted:
+        is_awaited = waiting is not None and not waiting.decision.done()
+        if entry is None or not entry.has_won or not is_awaited:
             self._write_release(offset)
-        if waiting is None or not is_wanted or entry is None:
+        if waiting is None or not is_awaited or entry is None:
             return
         if entry.has_won:
             own = OwnClaim(
@@ -294,8 +296,10 @@
             send_before = waiting.appended_at + SEND_LIMIT_SECONDS
             waiting.decision.set_result(ClaimGranted(offset, send_before))
             return
-        holder = self._state.entry_of(claim.key) or entry
-        waiting.decision.set_result(self._answer(holder, claim.digest))
+        winner = self._state.entry_of(claim.key) or entry
+        waiting.decision.set_result(
+            self._decide_claimed_key(winner, claim.digest)
+        )
 
     def _release_granted(self, decision: ClaimDecision) -> None:
         """Release a claim that was granted after its request was cancelled."""
@@ -310,35 +314,35 @@
         )
 
     def _write(
-        self, record: ClaimRecord, is_settled: Callable[[], bool]
+        self, record: ClaimRecord, is_applied: Callable[[], bool]
     ) -> asyncio.Task[None]:
         task = self._app.create_task(
-            self._async_write(encode_record(record), is_settled),
+            self._async_write(encode_record(record), is_applied),
             "settle claim",
         )
-        self._writers.add(task)
-        task.add_done_callback(self._writers.discard)
+        self._write_tasks.add(task)
+        task.add_done_callback(self._write_tasks.discard)
         return task
 
     async def _async_write(
-        self, record: bytes, is_settled: Callable[[], bool]
+        self, record: bytes, is_applied: Callable[[], bool]
     ) -> None:
         """Append a record repeatedly until its effect is read back.
 
         Repeats are safe because only the first of several equal releases or
         outcomes has an effect.
         """
-        while not is_settled():
+        while not is_applied():
             try:
                 await self._log.async_append(STREAM_CLAIMS, [record])
             except LogServiceError as error:
                 _LOGGER.warning(
                     "outcome or release not written, retrying", error=str(error)
                 )
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
                 continue
             deadline = self._app.now() + LONG_POLL_SECONDS
-            while not is_settled() and self._app.now() < deadline:
+            while not is_applied() and self._app.now() < deadline:
                 await self._async_wait_for_page()
 
     async def _async_wait_for_page(self) -> None:
--- a/packages/router/src/lacewingspar_router/components/configuration/store.py
+++ b/packages/router/src/lacewingspar_router/components/configuration/store.py
@@ -191,8 +191,8 @@
     async def async_exchange(self) -> None:
         """Exchange records with peers and write snapshots until cancelled."""
         while True:
-            self._ask_peers()
-            self._pass_records_on()
+            self._request_records()
+            self._send_records_to_lagging_peers()
             self._offset_at_last_exchange = self.applied_offset
             if self._is_snapshot_due():
                 self._snapshot_task = self._app.create_task(
@@ -245,7 +245,7 @@
             _LOGGER.info("configuration loaded", offset=self.applied_offset)
             self._notify_waiters()
 
-    def _ask_peers(self) -> None:
+    def _request_records(self) -> None:
         """Request records from one local peer and one of another data centre.
 
         Does so only if the log is unreadable, or if this router is behind a
@@ -275,7 +275,7 @@
                     ),
                 )
 
-    def _pass_records_on(self) -> None:
+    def _send_records_to_lagging_peers(self) -> None:
         """Send records to peers behind this router's last exchange offset.
 
         A starting router reports offset 0 and requests the records itself.
--- a/packages/router/src/lacewingspar_router/components/scheduler/demand_sender.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/demand_sender.py
@@ -11,7 +11,7 @@
 
 # From this many waiting requests on, a change of less than a quarter is left to
 # the next full message, since it would not affect the owners' decisions.
-_SMALL_QUEUE = 4
+_SMALL_QUEUE_REQUESTS = 4
 
 
 class DemandSender:
@@ -37,7 +37,7 @@
         self._queue = queue
         self._send = send
         self._receivers: frozenset[str] = frozenset()
-        self._waiting_told: dict[tuple[str, str], int] = {}
+        self._reported_waiting: dict[tuple[str, str], int] = {}
         self._sequence = 0
         self._sent_at = 0.0
         self._full_due_at = 0.0
@@ -51,7 +51,7 @@
             self._send(router_id, self._message(full=True, entries=()))
         self.send_full()
 
-    def changed(self) -> None:
+    def schedule_changes(self) -> None:
         """Send changes as soon as DEMAND_INTERVAL_SECONDS allows."""
         if self._timer is not None:
             return
@@ -72,7 +72,7 @@
     def send_full(self) -> None:
         """Send the full demand to the owners."""
         entries = self._queue.demand(self._now())
-        self._waiting_told = {
+        self._reported_waiting = {
             (entry.workspace, entry.model): entry.waiting for entry in entries
         }
         sent_bytes = self._broadcast(self._message(full=True, entries=entries))
@@ -81,7 +81,7 @@
             sent_bytes / const.FULL_DEMAND_BYTES_PER_SECOND,
         )
 
-    def note_accepted(self, request: WaitingRequest) -> None:
+    def record_accepted_offer(self, request: WaitingRequest) -> None:
         """Update the reported demand after an accepted offer.
 
         A single owner subtracts the request itself. With several owners, the
@@ -90,18 +90,20 @@
         if len(self._receivers) != 1:
             return
         key = (request.workspace, request.model)
-        self._waiting_told[key] = max(0, self._waiting_told.get(key, 0) - 1)
+        self._reported_waiting[key] = max(
+            0, self._reported_waiting.get(key, 0) - 1
+        )
 
-    def note_declined(self, workspace: str) -> None:
+    def record_declined_offer(self, workspace: str) -> None:
         """Schedule the demand of a workspace to be sent again.
 
         The owner assumes no demand of the workspace after a declined offer.
         """
-        for key in self._waiting_told:
+        for key in self._reported_waiting:
             if key[0] == workspace:
-                self._waiting_told[key] = 0
+                self._reported_waiting[key] = 0
         asyncio.get_running_loop().call_later(
-            const.DECLINED_DEMAND_DELAY_SECONDS, self.changed
+            const.DECLINED_DEMAND_DELAY_SECONDS, self.schedule_changes
         )
 
     def _send_changes(self) -> None:
@@ -115,18 +117,20 @@
         changes = [
             entry
             for key, entry in current.items()
-            if _is_worth_telling(self._waiting_told.get(key, 0), entry.waiting)
+            if _is_significant_change(
+                self._reported_waiting.get(key, 0), entry.waiting
+            )
         ]
         changes += [
             DemandEntry(workspace, model, 0, 0.0, 0.0)
-            for (workspace, model), told in self._waiting_told.items()
-            if told and (workspace, model) not in current
+            for (workspace, model), reported in self._reported_waiting.items()
+            if reported and (workspace, model) not in current
         ]
         if not changes:
             return
         for entry in changes:
             key = (entry.workspace, entry.model)
-            self._waiting_told[key] = entry.waiting
+            self._reported_waiting[key] = entry.waiting
         self._broadcast(self._message(full=False, entries=tuple(changes)))
 
     def _message(
@@ -142,9 +146,9 @@
         )
 
 
-def _is_worth_telling(told: int, waiting: int) -> bool:
+def _is_significant_change(reported: int, waiting: int) -> bool:
     """Return whether a change must be sent before the next full message."""
-    change = abs(waiting - told)
-    if min(told, waiting) < _SMALL_QUEUE:
+    change = abs(waiting - reported)
+    if min(reported, waiting) < _SMALL_QUEUE_REQUESTS:
         return change > 0
-    return change * 4 >= told
+    return change * 4 >= reported
--- a/packages/router/src/lacewingspar_router/components/scheduler/event_recorder.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/event_recorder.py
@@ -12,7 +12,7 @@
 
 # Maximum number of steps that wait to be written. If the writer falls further
 # behind, the recording ends, because a trace with gaps cannot be replayed.
-_QUEUE_STEPS = 100_000
+_MAX_QUEUED_STEPS = 100_000
 
 
 class EventRecorder:
@@ -28,7 +28,7 @@
 
     def __init__(self, path: Path, header: TraceHeader) -> None:
         self._path = path
-        self._lines: queue.Queue[bytes | None] = queue.Queue(_QUEUE_STEPS)
+        self._lines: queue.Queue[bytes | None] = queue.Queue(_MAX_QUEUED_STEPS)
         self._is_open = True
         self._encoder = msgspec.json.Encoder()
         self._put(self._encoder.encode(header))
--- a/packages/router/src/lacewingspar_router/components/scheduler/holder.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/ingress_queue.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _ActiveUse:
+class _SlotInUse:
     """A slot in use, by one request after another.
 
     Attributes:
@@ -54,7 +54,7 @@
     estimate_seconds: float
 
 
-class Holder:
+class IngressQueue:
     """Queues requests of one service and assigns them to offered slots.
 
     Attributes:
@@ -74,7 +74,7 @@
         self._send = send
         self._queue = RequestQueue()
         self._future_by_request: dict[str, asyncio.Future[SlotGrant]] = {}
-        self._use_by_slot: dict[SlotId, _ActiveUse] = {}
+        self._use_by_slot: dict[SlotId, _SlotInUse] = {}
         self._models_by_upstream: dict[str, frozenset[str]] = {}
         self._quantum_seconds = 0.0
         self._ownership = ServiceOwnership({}, {})
@@ -124,7 +124,7 @@
             asyncio.get_running_loop().create_future()
         )
         self._future_by_request[request.request_id] = future
-        self.demand.changed()
+        self.demand.schedule_changes()
         try:
             return await future
         except asyncio.CancelledError:
@@ -148,7 +148,7 @@
             self._queue.note_cost(
                 grant.workspace, grant.request_class, now - grant.bound_at
             )
-            if self._rebind(use, now):
+            if self._reuse_slot(use, now):
                 return
         del self._use_by_slot[grant.slot]
         released = SlotReleased(
@@ -166,7 +166,7 @@
         for router_id in {grant.slot.owner.router_id, self._owner_of(grant)}:
             self._send(router_id, released)
 
-    def take_offer(self, offer: Offer) -> bool:
+    def accept_offer(self, offer: Offer) -> bool:
         """Assign the best waiting request to an offered slot.
 
         Returns:
@@ -182,8 +182,8 @@
             offer.slot.owner.router_id,
             OfferAccepted(self._service, offer.slot, estimate),
         )
-        self.demand.note_accepted(request)
-        use = _ActiveUse(
+        self.demand.record_accepted_offer(request)
+        use = _SlotInUse(
             grant=self._grant(request, offer.slot, offer.upstream_id, now),
             offered_at=now,
             requests=1,
@@ -198,7 +198,7 @@
             self._service, offer.slot, offer.workspace, offer.model
         )
         self._send(offer.slot.owner.router_id, declined)
-        self.demand.note_declined(offer.workspace)
+        self.demand.record_declined_offer(offer.workspace)
 
     def refuse_expired(self) -> None:
         """Refuse the requests whose deadline has passed."""
@@ -208,7 +208,7 @@
                 request, Refusal("deadline_passed", MIN_RETRY_AFTER_SECONDS)
             )
         if expired:
-            self.demand.changed()
+            self.demand.schedule_changes()
 
     def refuse_all(self) -> None:
         """Refuse every waiting request after the service was removed."""
@@ -245,7 +245,7 @@
         """Return the number of slots in use at this router."""
         return len(self._use_by_slot)
 
-    def _rebind(self, use: _ActiveUse, now: float) -> bool:
+    def _reuse_slot(self, use: _SlotInUse, now: float) -> bool:
         """Assign a slot to the next request of the same workspace, if possible.
 
         A workspace keeps a slot for one quantum. A round trip to the owner
@@ -257,7 +257,7 @@
         request = self._pop_best(grant.workspace, grant.upstream_id, now)
         if request is None:
             return False
-        next_use = _ActiveUse(
+        next_use = _SlotInUse(
             grant=self._grant(request, grant.slot, grant.upstream_id, now),
             offered_at=use.offered_at,
             requests=use.requests + 1,
@@ -266,7 +266,7 @@
         self._bind(next_use, request)
         return True
 
-    def _bind(self, use: _ActiveUse, request: WaitingRequest) -> None:
+    def _bind(self, use: _SlotInUse, request: WaitingRequest) -> None:
         """Pass a slot to the task that waits for it."""
         self._use_by_slot[use.grant.slot] = use
         future = self._future_by_request.get(request.request_id)
@@ -274,7 +274,7 @@
             self.release(use.grant, SlotOutcome.CANCELLED, 0)
         else:
             future.set_result(use.grant)
-        self.demand.changed()
+        self.demand.schedule_changes()
 
     def _pop_best(
         self, workspace: str, upstream_id: str, now: float
@@ -305,7 +305,7 @@
             bound_at=now,
         )
 
-    def _active_slot(self, use: _ActiveUse, now: float) -> ActiveSlot:
+    def _active_slot(self, use: _SlotInUse, now: float) -> ActiveSlot:
         return ActiveSlot(
             slot=use.grant.slot,
             upstream_id=use.grant.upstream_id,
@@ -324,7 +324,7 @@
         self, request: WaitingRequest, future: "asyncio.Future[SlotGrant]"
     ) -> None:
         if self._queue.remove(request):
-            self.demand.changed()
+            self.demand.schedule_changes()
             return
         if future.done() and not future.cancelled() and not future.exception():
             self.release(future.result(), SlotOutcome.CANCELLED, 0)
--- a/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
@@ -47,7 +47,7 @@
 from lacewingspar_router.components.scheduler.event_recorder import (
     EventRecorder,
 )
-from lacewingspar_router.components.scheduler.holder import Holder
+from lacewingspar_router.components.scheduler.ingress_queue import IngressQueue
 from lacewingspar_router.components.scheduler.models import (
     SlotGrant,
     SlotRequest,
@@ -90,12 +90,12 @@
         self._peers = peers
         self._configuration = configuration
         self._upstreams = upstreams
-        self._holder_by_service: dict[str, Holder] = {}
+        self._ingress_queue_by_service: dict[str, IngressQueue] = {}
         self._owner_by_service: dict[str, SlotOwner] = {}
         self._ownership_by_service: dict[str, ServiceOwnership] = {}
         self._document_by_service: dict[str, ServiceDocument] = {}
         self._counters_schedule_by_service: dict[str, CountersSchedule] = {}
-        self._known_lives: dict[str, RouterLife] = {}
+        self._known_instances: dict[str, RouterLife] = {}
         for message_type in _OWNER_MESSAGES:
             peers.subscribe(message_type, self._receive_as_owner)
         peers.subscribe(Offer, self._receive_offer)
@@ -117,21 +117,23 @@
                 "unknown_service",
                 f"service {request.service!r} does not exist",
             )
-        return await self._holder_by_service[request.service].async_acquire(
-            request, default_class=document.request_classes[0].name
-        )
+        return await self._ingress_queue_by_service[
+            request.service
+        ].async_acquire(request, default_class=document.request_classes[0].name)
 
     def release(
         self, grant: SlotGrant, outcome: SlotOutcome, tokens: int = 0
     ) -> None:
         """Release a slot."""
-        self._holder_by_service[grant.service].release(grant, outcome, tokens)
+        self._ingress_queue_by_service[grant.service].release(
+            grant, outcome, tokens
+        )
 
     def reconfigure(self) -> None:
         """Apply the active documents, alive routers and upstream states."""
         documents = self._configuration.documents_by_service
         for service in self._document_by_service.keys() - documents.keys():
-            self._holder_by_service[service].refuse_all()
+            self._ingress_queue_by_service[service].refuse_all()
         self._document_by_service = dict(documents)
         for service, document in documents.items():
             self._reconfigure_service(service, document)
@@ -162,11 +164,11 @@
         Args:
             ticks: Number of ticks so far, including this one.
         """
-        for holder in self._holder_by_service.values():
-            holder.refuse_expired()
-            holder.demand.send_full_if_due()
+        for ingress_queue in self._ingress_queue_by_service.values():
+            ingress_queue.refuse_expired()
+            ingress_queue.demand.send_full_if_due()
             if ticks % const.TICKS_PER_REPORT == 0:
-                holder.send_reports()
+                ingress_queue.send_reports()
         for service in self._owner_by_service:
             self._handle(service, TimePassed())
             self._publish_due_counters(service)
@@ -185,11 +187,11 @@
                 "owner_by_upstream": dict(
                     self._ownership_by_service[service].owner_by_upstream
                 ),
-                "slots_in_use_here": holder.active_slots,
-                "waiting_here": holder.waiting_by_workspace,
+                "slots_in_use_here": ingress_queue.active_slots,
+                "waiting_here": ingress_queue.waiting_by_workspace,
                 "owned_uses": self._owned_uses(service),
             }
-            for service, holder in self._holder_by_service.items()
+            for service, ingress_queue in self._ingress_queue_by_service.items()
         }
 
     def accounts_snapshot(self) -> dict[str, Any]:
@@ -201,8 +203,8 @@
 
     def _is_busy(self) -> bool:
         return any(
-            holder.active_slots or holder.waiting_by_workspace
-            for holder in self._holder_by_service.values()
+            ingress_queue.active_slots or ingress_queue.waiting_by_workspace
+            for ingress_queue in self._ingress_queue_by_service.values()
         )
 
     def _owned_uses(self, service: str) -> Mapping[str, int]:
@@ -212,10 +214,10 @@
     def _reconfigure_service(
         self, service: str, document: ServiceDocument
     ) -> None:
-        holder = self._holder_by_service.get(service)
-        if holder is None:
-            holder = Holder(self._app, service, self._peers.send)
-            self._holder_by_service[service] = holder
+        ingress_queue = self._ingress_queue_by_service.get(service)
+        if ingress_queue is None:
+            ingress_queue = IngressQueue(self._app, service, self._peers.send)
+            self._ingress_queue_by_service[service] = ingress_queue
         ownership = assign_owners(
             service,
             {item.id: item.data_centre for item in document.upstreams},
@@ -224,7 +226,7 @@
         is_changed = ownership != self._ownership_by_service.get(service)
         self._ownership_by_service[service] = ownership
         self._update_owner(service, document, ownership)
-        holder.configure(document, ownership)
+        ingress_queue.configure(document, ownership)
         if is_changed:
             self._publish_counters(service, full=True)
 
@@ -251,7 +253,7 @@
             weight_by_workspace={
                 item.name: item.weight for item in document.workspaces
             },
-            routers=frozenset(self._known_lives.values()),
+            routers=frozenset(self._known_instances.values()),
         )
         self._handle(service, event)
 
@@ -280,13 +282,13 @@
             router_id: record.life
             for router_id, record in self._peers.alive_by_router_id.items()
         }
-        gone = [
+        stopped = [
             life
-            for router_id, life in self._known_lives.items()
+            for router_id, life in self._known_instances.items()
             if alive.get(router_id) != life
         ]
-        self._known_lives = alive
-        for life in gone:
+        self._known_instances = alive
+        for life in stopped:
             for service in self._owner_by_service:
                 self._handle(service, RouterGone(life))
         self.reconfigure()
@@ -328,20 +330,25 @@
     def _receive_offer(self, received: ReceivedMessage) -> None:
         offer = received.message
         assert isinstance(offer, Offer)
-        holder = self._holder_by_service.get(offer.service)
-        if holder is not None and holder.take_offer(offer):
+        ingress_queue = self._ingress_queue_by_service.get(offer.service)
+        if ingress_queue is not None and ingress_queue.accept_offer(offer):
             return
         owner = self._owner_by_service.get(offer.service)
         is_own = offer.slot.owner == self._app.life
-        if owner is None or offer.is_forwarded or is_own or holder is None:
+        if (
+            owner is None
+            or offer.is_forwarded
+            or is_own
+            or ingress_queue is None
+        ):
             self._decline(received, offer)
             return
         self._handle(offer.service, MessageReceived(received.sender, offer))
 
     def _decline(self, received: ReceivedMessage, offer: Offer) -> None:
-        holder = self._holder_by_service.get(offer.service)
-        if holder is not None:
-            holder.decline(offer)
+        ingress_queue = self._ingress_queue_by_service.get(offer.service)
+        if ingress_queue is not None:
+            ingress_queue.decline(offer)
             return
         declined = OfferDeclined(
             offer.service, offer.slot, offer.workspace, offer.model
@@ -351,12 +358,12 @@
     def _receive_report_request(self, received: ReceivedMessage) -> None:
         request = received.message
         assert isinstance(request, SlotReportRequest)
-        holder = self._holder_by_service.get(request.service)
-        if holder is None:
+        ingress_queue = self._ingress_queue_by_service.get(request.service)
+        if ingress_queue is None:
             report = SlotReport(request.service, ())
             self._peers.send(received.sender.router_id, report)
             return
-        holder.send_report_to(received.sender.router_id)
+        ingress_queue.send_report_to(received.sender.router_id)
 
     def _handle(self, service: str, event: OwnerEvent) -> int:
         """Pass an event to the slot owner of a service and perform its actions.
--- a/packages/router/src/lacewingspar_router/components/upstreams/connections.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/connections.py
@@ -9,9 +9,9 @@
 import httpx
 
 from lacewingspar_router.components.upstreams.answer import (
-    HttpAnswer,
+    HttpUpstreamResponse,
     OnEnd,
-    check_head,
+    check_response_head,
     describe,
 )
 from lacewingspar_router.components.upstreams.const import (
@@ -87,28 +87,30 @@
         self._transports: set[httpx.AsyncHTTPTransport] = set()
         self._idle: deque[_IdleTransport] = deque()
 
-    async def async_call(self, call: UpstreamCall, on_end: OnEnd) -> HttpAnswer:
+    async def async_call(
+        self, call: UpstreamCall, on_end: OnEnd
+    ) -> HttpUpstreamResponse:
         """Send a call and wait for the response head.
 
         Raises:
             UpstreamError: The call failed.
         """
-        transport = self._take()
+        transport = self._acquire_transport()
         try:
             response = await self._async_send(transport, call)
             try:
-                expected_bytes = check_head(call, response)
+                expected_bytes = check_response_head(call, response)
             except UpstreamError:
                 await response.aclose()
                 raise
         except BaseException:
-            await self._async_give_back(transport)
+            await self._async_release_transport(transport)
             raise
-        return HttpAnswer(
+        return HttpUpstreamResponse(
             response,
             expected_bytes,
             on_end,
-            lambda: self._async_give_back(transport),
+            lambda: self._async_release_transport(transport),
         )
 
     async def async_close(self) -> None:
@@ -117,7 +119,7 @@
         while self._transports:
             await self._transports.pop().aclose()
 
-    def _take(self) -> httpx.AsyncHTTPTransport:
+    def _acquire_transport(self) -> httpx.AsyncHTTPTransport:
         """Return the most recently used idle transport, or a new one."""
         if self._idle:
             return self._idle.pop().transport
@@ -129,7 +131,7 @@
         self._transports.add(transport)
         return transport
 
-    async def _async_give_back(
+    async def _async_release_transport(
         self, transport: httpx.AsyncHTTPTransport
     ) -> None:
         """Keep a transport for reuse and close expired or surplus ones."""
--- a/packages/router/src/lacewingspar_router/components/upstreams/const.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/const.py
@@ -6,7 +6,7 @@
 IDLE_EXPIRY_SECONDS = 5.0
 # An upstream counts as crashed if it does not respond within this time after a
 # broken call.
-UP_CHECK_SECONDS = 1.0
+UP_CHECK_TIMEOUT_SECONDS = 1.0
 WRITE_TIMEOUT_SECONDS = 30.0
 # Limits only idle connections; the slots limit the calls per upstream.
 MAX_IDLE_CONNECTIONS = 256
@@ -16,4 +16,4 @@
 STATUS_UNAVAILABLE = 503
 # Number of upstreams that are called to check whether another data centre is
 # reachable.
-REACH_CHECKS = 4
+MAX_REACHABILITY_CHECKS = 4
--- a/packages/router/src/lacewingspar_router/components/upstreams/health.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/health.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Watched:
+class _MonitoredUpstream:
     """A monitored upstream and its state."""
 
     key: UpstreamKey
@@ -102,7 +102,7 @@
         self._now = now
         self._random = random
         self._address_map = address_map
-        self._watched_by_key: dict[UpstreamKey, _Watched] = {}
+        self._monitored_by_key: dict[UpstreamKey, _MonitoredUpstream] = {}
         self._status_by_key: dict[UpstreamKey, UpstreamStatus] = {}
         self._polled: frozenset[UpstreamKey] | None = None
         self._leaving_vms: frozenset[str] = frozenset()
@@ -134,10 +134,12 @@
             for upstream in upstreams
         }
         before = dict(self._status_by_key)
-        for key, watched in list(self._watched_by_key.items()):
+        for key, monitored in list(self._monitored_by_key.items()):
             upstream = listed.get(key)
-            if upstream is None or not _is_same(watched.upstream, upstream):
-                self._remove(watched)
+            if upstream is None or not _is_same_upstream(
+                monitored.upstream, upstream
+            ):
+                self._remove(monitored)
         for key, upstream in listed.items():
             self._add_or_update(key, upstream)
         self._set_polled_flags()
@@ -161,10 +163,10 @@
     def set_leaving_vms(self, leaving_vms: frozenset[str]) -> None:
         """Update the health of upstreams by the VMs that are about to leave."""
         self._leaving_vms = leaving_vms
-        for watched in list(self._watched_by_key.values()):
-            self._apply(watched, self._vm_event(watched.upstream))
+        for monitored in list(self._monitored_by_key.values()):
+            self._apply(monitored, self._vm_event(monitored.upstream))
 
-    def on_answer(
+    def record_response(
         self, service: str, upstream_id: str, latency_seconds: float
     ) -> None:
         """Record a complete response.
@@ -174,43 +176,43 @@
             upstream_id: Upstream that sent the response.
             latency_seconds: Time from sending the call to the response head.
         """
-        watched = self._watched_by_key.get((service, upstream_id))
-        if watched is not None:
-            self._apply(watched, AnswerOk(latency_seconds))
+        monitored = self._monitored_by_key.get((service, upstream_id))
+        if monitored is not None:
+            self._apply(monitored, AnswerOk(latency_seconds))
 
-    def on_failure(
+    def record_failure(
         self, service: str, upstream_id: str, error: UpstreamError
     ) -> None:
         """Record a failed call; a refusal by the upstream is not a failure."""
-        watched = self._watched_by_key.get((service, upstream_id))
-        if watched is None:
+        monitored = self._monitored_by_key.get((service, upstream_id))
+        if monitored is None:
             return
         match error:
             case UpstreamConnectError():
-                self._apply(watched, ConnectFailure())
+                self._apply(monitored, ConnectFailure())
             case UpstreamBrokenError() | UpstreamMismatchError():
-                self._apply(watched, BrokenAnswer())
+                self._apply(monitored, BrokenAnswer())
             case _:
                 return
 
     async def async_close(self) -> None:
         """Cancel all tasks."""
-        tasks = [w.task for w in self._watched_by_key.values() if w.task]
-        self._watched_by_key.clear()
+        tasks = [w.task for w in self._monitored_by_key.values() if w.task]
+        self._monitored_by_key.clear()
         self._status_by_key.clear()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _add_or_update(self, key: UpstreamKey, upstream: Upstream) -> None:
-        watched = self._watched_by_key.get(key)
-        if watched is not None:
-            watched.upstream = upstream
-            watched.health = with_slots(watched.health, upstream.slots)
-            self._update_status(watched)
+        monitored = self._monitored_by_key.get(key)
+        if monitored is not None:
+            monitored.upstream = upstream
+            monitored.health = with_slots(monitored.health, upstream.slots)
+            self._update_status(monitored)
             return
         now = self._now()
-        watched = _Watched(
+        monitored = _MonitoredUpstream(
             key=key,
             upstream=upstream,
             url=map_url(upstream.address, self._address_map),
@@ -218,65 +220,65 @@
             next_poll_at=now,
         )
         event = self._vm_event(upstream)
-        watched.health = self._next_health(watched, event)
-        self._watched_by_key[key] = watched
-        self._update_status(watched)
-        watched.task = asyncio.create_task(
-            self._async_watch(watched), name=f"health {key[0]}/{key[1]}"
+        monitored.health = self._next_health(monitored, event)
+        self._monitored_by_key[key] = monitored
+        self._update_status(monitored)
+        monitored.task = asyncio.create_task(
+            self._async_watch(monitored), name=f"health {key[0]}/{key[1]}"
         )
 
-    def _remove(self, watched: _Watched) -> None:
-        del self._watched_by_key[watched.key]
-        self._status_by_key.pop(watched.key, None)
-        if watched.task is not None:
-            watched.task.cancel()
+    def _remove(self, monitored: _MonitoredUpstream) -> None:
+        del self._monitored_by_key[monitored.key]
+        self._status_by_key.pop(monitored.key, None)
+        if monitored.task is not None:
+            monitored.task.cancel()
         _LOGGER.info(
             "upstream removed",
-            upstream=watched.key,
-            state=self._next_health(watched, Removed()).state,
+            upstream=monitored.key,
+            state=self._next_health(monitored, Removed()).state,
         )
 
     def _set_polled_flags(self) -> None:
-        for key, watched in self._watched_by_key.items():
+        for key, monitored in self._monitored_by_key.items():
             is_selected = self._polled is None or key in self._polled
-            is_polled = is_selected and self._is_local(watched)
-            if is_polled != watched.is_polled:
-                watched.is_polled = is_polled
-                watched.wake.set()
+            is_polled = is_selected and self._is_local(monitored)
+            if is_polled != monitored.is_polled:
+                monitored.is_polled = is_polled
+                monitored.wake.set()
 
-    def _is_local(self, watched: _Watched) -> bool:
-        return watched.upstream.data_centre == self._data_centre
+    def _is_local(self, monitored: _MonitoredUpstream) -> bool:
+        return monitored.upstream.data_centre == self._data_centre
 
     def _vm_event(self, upstream: Upstream) -> HealthEvent:
         return VmLeaving() if upstream.vm in self._leaving_vms else VmLive()
 
     def _next_health(
-        self, watched: _Watched, event: HealthEvent
+        self, monitored: _MonitoredUpstream, event: HealthEvent
     ) -> UpstreamHealth:
-        return apply_event(watched.health, event, self._now(), self._random)
+        return apply_event(monitored.health, event, self._now(), self._random)
 
-    def _apply(self, watched: _Watched, event: HealthEvent) -> None:
-        before = watched.health
-        watched.health = self._next_health(watched, event)
-        if watched.health.state != before.state:
+    def _apply(self, monitored: _MonitoredUpstream, event: HealthEvent) -> None:
+        before = monitored.health
+        monitored.health = self._next_health(monitored, event)
+        if monitored.health.state != before.state:
             _LOGGER.info(
                 "upstream state changed",
-                upstream=watched.key,
+                upstream=monitored.key,
                 before=before.state,
-                after=watched.health.state,
+                after=monitored.health.state,
                 reason=event.NAME,
             )
-            watched.wake.set()
-        if self._update_status(watched):
+            monitored.wake.set()
+        if self._update_status(monitored):
             self._notify()
 
-    def _update_status(self, watched: _Watched) -> bool:
+    def _update_status(self, monitored: _MonitoredUpstream) -> bool:
         """Update the published status and return whether it changed."""
-        health = watched.health
+        health = monitored.health
         status = UpstreamStatus(state=health.state, slots=health.slots)
-        if self._status_by_key.get(watched.key) == status:
+        if self._status_by_key.get(monitored.key) == status:
             return False
-        self._status_by_key[watched.key] = status
+        self._status_by_key[monitored.key] = status
         return True
 
     def _notify(self) -> None:
@@ -286,71 +288,77 @@
             except Exception:
                 _LOGGER.exception("upstream status listener failed")
 
-    async def _async_watch(self, watched: _Watched) -> None:
+    async def _async_watch(self, monitored: _MonitoredUpstream) -> None:
         """Probe and poll one upstream whenever it is due."""
         while True:
             try:
-                await self._async_wait_until_due(watched)
-                await self._async_visit(watched)
+                await self._async_wait_until_due(monitored)
+                await self._async_visit(monitored)
             except Exception:
-                _LOGGER.exception("health check failed", upstream=watched.key)
+                _LOGGER.exception("health check failed", upstream=monitored.key)
                 await asyncio.sleep(LOAD_POLL_SECONDS)
 
-    async def _async_wait_until_due(self, watched: _Watched) -> None:
+    async def _async_wait_until_due(
+        self, monitored: _MonitoredUpstream
+    ) -> None:
         while True:
-            watched.wake.clear()
-            due_at, now = self._due_at(watched), self._now()
+            monitored.wake.clear()
+            due_at, now = self._due_at(monitored), self._now()
             if due_at is not None and due_at <= now:
                 return
             delay = None if due_at is None else due_at - now
             with suppress(TimeoutError):
                 async with asyncio.timeout(delay):
-                    await watched.wake.wait()
+                    await monitored.wake.wait()
 
-    def _due_at(self, watched: _Watched) -> float | None:
+    def _due_at(self, monitored: _MonitoredUpstream) -> float | None:
         """Return the time of the next probe or poll, or None."""
-        due = [self._probe_due_at(watched), self._poll_due_at(watched)]
+        due = [self._probe_due_at(monitored), self._poll_due_at(monitored)]
         return min((time for time in due if time is not None), default=None)
 
-    def _probe_due_at(self, watched: _Watched) -> float | None:
-        is_failing = watched.health.state == STATE_FAILING
-        if is_failing or self._is_local(watched):
-            return watched.health.next_probe_at
+    def _probe_due_at(self, monitored: _MonitoredUpstream) -> float | None:
+        is_failing = monitored.health.state == STATE_FAILING
+        if is_failing or self._is_local(monitored):
+            return monitored.health.next_probe_at
         return None
 
-    def _poll_due_at(self, watched: _Watched) -> float | None:
-        has_load = watched.health.state in (STATE_UNKNOWN, STATE_HEALTHY)
-        return watched.next_poll_at if watched.is_polled and has_load else None
+    def _poll_due_at(self, monitored: _MonitoredUpstream) -> float | None:
+        has_load = monitored.health.state in (STATE_UNKNOWN, STATE_HEALTHY)
+        return (
+            monitored.next_poll_at if monitored.is_polled and has_load else None
+        )
 
-    async def _async_visit(self, watched: _Watched) -> None:
-        probe_at = self._probe_due_at(watched)
+    async def _async_visit(self, monitored: _MonitoredUpstream) -> None:
+        probe_at = self._probe_due_at(monitored)
         if probe_at is not None and probe_at <= self._now():
-            await self._async_probe(watched)
+            await self._async_probe(monitored)
             return
         jitter = self._random.uniform(1 - LOAD_POLL_JITTER, 1.0)
-        watched.next_poll_at = self._now() + LOAD_POLL_SECONDS * jitter
-        event = await self._async_read_load(watched)
+        monitored.next_poll_at = self._now() + LOAD_POLL_SECONDS * jitter
+        event = await self._async_read_load(monitored)
         if event is not None:
-            self._apply(watched, event)
-        if are_reports_overdue(watched.health, self._now()):
-            self._apply(watched, ReportsStopped())
+            self._apply(monitored, event)
+        if are_reports_overdue(monitored.health, self._now()):
+            self._apply(monitored, ReportsStopped())
 
-    async def _async_probe(self, watched: _Watched) -> None:
+    async def _async_probe(self, monitored: _MonitoredUpstream) -> None:
         try:
             response = await self._client.get(
-                watched.url + HEALTH_PATH, timeout=REQUEST_TIMEOUT_SECONDS
+                monitored.url + HEALTH_PATH, timeout=REQUEST_TIMEOUT_SECONDS
             )
         except (httpx.HTTPError, httpx.InvalidURL):
-            self._apply(watched, ProbeFailed())
+            self._apply(monitored, ProbeFailed())
             return
         is_up = response.status_code < FIRST_FAILURE_STATUS
-        self._apply(watched, ProbeSucceeded() if is_up else ProbeFailed())
+        self._apply(monitored, ProbeSucceeded() if is_up else ProbeFailed())
 
-    async def _async_read_load(self, watched: _Watched) -> HealthEvent | None:
+    async def _async_read_load(
+        self, monitored: _MonitoredUpstream
+    ) -> HealthEvent | None:
         """Poll the load and return the event, or None without a report."""
         try:
             response = await self._client.get(
-                watched.url + LOAD_PATH, timeout=REQUEST_TIMEOUT_SECONDS
+                monitored.url + LOAD_PATH, timeout=REQUEST_TIMEOUT_SECONDS
             )
             response.raise_for_status()
             report = msgspec.json.decode(response.content, type=LoadReport)
@@ -365,7 +373,7 @@
         )
 
 
-def _is_same(before: Upstream, after: Upstream) -> bool:
+def _is_same_upstream(before: Upstream, after: Upstream) -> bool:
     return (before.address, before.data_centre, before.vm) == (
         after.address,
         after.data_centre,
--- a/packages/router/src/lacewingspar_router/components/upstreams/models.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/models.py
@@ -29,7 +29,7 @@
     silent_after_seconds: float
 
 
-class UpstreamAnswer(Protocol):
+class UpstreamResponse(Protocol):
     """A response whose head was received and checked.
 
     Attributes:
@@ -70,7 +70,7 @@
 
     async def async_call(
         self, service: str, upstream_id: str, call: UpstreamCall
-    ) -> UpstreamAnswer:
+    ) -> UpstreamResponse:
         """Send a call and wait for the response head.
 
         Raises:
--- a/packages/router/src/lacewingspar_router/components/upstreams/pool.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/pool.py
@@ -13,13 +13,12 @@
     CONFIGURATION,
 )
 from lacewingspar_router.components.telemetry.models import TELEMETRY
-from lacewingspar_router.components.upstreams.answer import HttpAnswer
 from lacewingspar_router.components.upstreams.connections import (
     UpstreamConnections,
 )
 from lacewingspar_router.components.upstreams.const import (
-    REACH_CHECKS,
-    UP_CHECK_SECONDS,
+    MAX_REACHABILITY_CHECKS,
+    UP_CHECK_TIMEOUT_SECONDS,
 )
 from lacewingspar_router.components.upstreams.errors import (
     UpstreamConnectError,
@@ -35,6 +34,9 @@
     UpstreamCall,
     UpstreamStatus,
 )
+from lacewingspar_router.components.upstreams.response import (
+    HttpUpstreamResponse,
+)
 from lacewingspar_router.components.vm_list.models import VM_LIST
 from lacewingspar_router.errors import RunState
 
@@ -104,7 +106,7 @@
 
     async def async_call(
         self, service: str, upstream_id: str, call: UpstreamCall
-    ) -> HttpAnswer:
+    ) -> HttpUpstreamResponse:
         """Send a call and wait for the response head.
 
         Raises:
@@ -122,15 +124,15 @@
         latency_seconds = 0.0
 
         def on_end(error: UpstreamError | None) -> None:
-            self._note_end(key, error, latency_seconds)
+            self._record_end(key, error, latency_seconds)
 
         try:
-            answer = await self._connections(address).async_call(call, on_end)
+            response = await self._connections(address).async_call(call, on_end)
         except UpstreamError as error:
-            self._note_end(key, error, latency_seconds)
+            self._record_end(key, error, latency_seconds)
             raise
         latency_seconds = self._application.now() - sent_at
-        return answer
+        return response
 
     async def async_is_up(self, service: str, upstream_id: str) -> bool:
         """Return whether an upstream responds to HTTP requests."""
@@ -140,7 +142,7 @@
         url = map_url(address, self._application.settings.address_map)
         try:
             await self._health_client.get(
-                url + HEALTH_PATH, timeout=UP_CHECK_SECONDS
+                url + HEALTH_PATH, timeout=UP_CHECK_TIMEOUT_SECONDS
             )
         except (httpx.HTTPError, httpx.InvalidURL):
             return False
@@ -163,10 +165,13 @@
             if place == data_centre
             and self._address_by_upstream[other] != address
         ]
-        answers = await asyncio.gather(
-            *(self.async_is_up(*other) for other in others[:REACH_CHECKS])
+        responses = await asyncio.gather(
+            *(
+                self.async_is_up(*other)
+                for other in others[:MAX_REACHABILITY_CHECKS]
+            )
         )
-        return any(answers)
+        return any(responses)
 
     async def async_close(self) -> None:
         """Close all connections."""
@@ -187,7 +192,7 @@
             self._connections_by_address[address] = connections
         return connections
 
-    def _note_end(
+    def _record_end(
         self,
         key: UpstreamKey,
         error: UpstreamError | None,
@@ -195,7 +200,7 @@
     ) -> None:
         """Record the end of a call in the health of the upstream."""
         if error is None:
-            self._monitor.on_answer(*key, latency_seconds)
+            self._monitor.record_response(*key, latency_seconds)
             return
         if isinstance(error, UpstreamMismatchError):
             self._telemetry.count(
@@ -208,4 +213,4 @@
             error=str(error),
             run=error.run,
         )
-        self._monitor.on_failure(*key, error)
+        self._monitor.record_failure(*key, error)
--- a/packages/router/src/lacewingspar_router/components/upstreams/answer.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/response.py
@@ -29,7 +29,7 @@
 OnClose = Callable[[], Awaitable[None]]
 
 
-class HttpAnswer:
+class HttpUpstreamResponse:
     """A response whose head was received and checked.
 
     Args:
@@ -95,7 +95,9 @@
         return error
 
 
-def check_head(call: UpstreamCall, response: httpx.Response) -> int | None:
+def check_response_head(
+    call: UpstreamCall, response: httpx.Response
+) -> int | None:
     """Check the identity and the framing of a response.
 
     Returns:
--- a/tests/router/components/caller_api/test_answer_body.py
+++ b/tests/router/components/caller_api/test_answer_body.py
@@ -2,7 +2,9 @@
 
 import pytest
 
-from lacewingspar_router.components.caller_api.answer_body import EventGate
+from lacewingspar_router.components.caller_api.answer_body import (
+    CompleteEventBuffer,
+)
 
 
 @pytest.mark.parametrize(
@@ -20,6 +22,6 @@
     parts: list[bytes], passed: list[bytes], held: bytes
 ) -> None:
     """An error event must not follow an incomplete event."""
-    gate = EventGate()
-    assert [gate.push(part) for part in parts] == passed
-    assert gate.flush() == held
+    buffer = CompleteEventBuffer()
+    assert [buffer.push(part) for part in parts] == passed
+    assert buffer.flush() == held
--- a/tests/router/components/test_claims.py
+++ b/tests/router/components/test_claims.py
@@ -24,7 +24,7 @@
 
 @pytest.fixture(autouse=True)
 def short_periods(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(registry, "RETRY_SECONDS", 0.005)
+    monkeypatch.setattr(registry, "RETRY_DELAY_SECONDS", 0.005)
 
 
 @pytest.fixture
--- a/tests/router/components/test_configuration.py
+++ b/tests/router/components/test_configuration.py
@@ -157,11 +157,11 @@
     peers: Any = first.get(PEERS)
     peers.offset_by_router_id = {"r1": 2, second.life.router_id: 1}
 
-    def passed_on() -> list[Any]:
+    def sent_records() -> list[Any]:
         return [m for _, m in peers.sent if isinstance(m, LogRecords)]
 
-    await until(passed_on)
-    assert [record.offset for record in passed_on()[0].records] == [1]
+    await until(sent_records)
+    assert [record.offset for record in sent_records()[0].records] == [1]
 
 
 @pytest.mark.parametrize(
@@ -205,7 +205,7 @@
         send=lambda _, router_id, _message: sent.append(router_id),
     ):
         await until(lambda: configuration._offset_at_last_exchange == 2)
-        configuration._pass_records_on()
+        configuration._send_records_to_lagging_peers()
     assert set(sent) == expected
 
 
--- a/tests/router/components/test_holder.py
+++ b/tests/router/components/test_ingress_queue.py
@@ -3,6 +3,7 @@
 import asyncio
 
 import pytest
+from lacewingspar_router.components.scheduler.ingress_queue import IngressQueue
 
 from lacewingspar_core.documents import ServiceDocument, validate_document
 from lacewingspar_core.identity import RouterLife
@@ -18,7 +19,6 @@
 )
 from lacewingspar_core.ownership import ServiceOwnership
 from lacewingspar_router.application import Application
-from lacewingspar_router.components.scheduler.holder import Holder
 from lacewingspar_router.components.scheduler.models import (
     SlotGrant,
     SlotRequest,
@@ -57,11 +57,11 @@
         self.sent: list[tuple[str, AnyPeerMessage]] = []
         self.message_bytes = 0
         self.demand_sent = asyncio.Event()
-        self.holder = Holder(self.clock, "plain", self.send)
+        self.ingress_queue = IngressQueue(self.clock, "plain", self.send)
         ownership = ServiceOwnership(
             {"u1": "owner"}, {"north": frozenset({"owner"})}
         )
-        self.holder.configure(document(quantum), ownership)
+        self.ingress_queue.configure(document(quantum), ownership)
         self.sent.clear()
 
     def send(self, router_id: str, message: AnyPeerMessage) -> int:
@@ -79,7 +79,7 @@
             f"r{number}", "plain", "w1", "", "", now, now + 100.0
         )
         return asyncio.create_task(
-            self.holder.async_acquire(request, default_class="default")
+            self.ingress_queue.async_acquire(request, default_class="default")
         )
 
 
@@ -111,7 +111,7 @@
     task = harness.acquire(1)
     await asyncio.sleep(0)
     assert harness.messages(Demand)
-    assert harness.holder.take_offer(offer(1))
+    assert harness.ingress_queue.accept_offer(offer(1))
     grant = await task
     assert grant.slot == SlotId(OWNER, 1)
     assert harness.messages(OfferAccepted)[0][0] == "owner"
@@ -128,10 +128,10 @@
     harness = Harness(quantum)
     first, second = harness.acquire(1), harness.acquire(2)
     await asyncio.sleep(0)
-    harness.holder.take_offer(offer(1))
+    harness.ingress_queue.accept_offer(offer(1))
     grant = await first
     harness.clock.time += elapsed
-    harness.holder.release(grant, SlotOutcome.COMPLETED, 0)
+    harness.ingress_queue.release(grant, SlotOutcome.COMPLETED, 0)
     await asyncio.sleep(0)
     assert second.done() is is_kept
     assert bool(harness.messages(SlotReleased)) is not is_kept
@@ -143,8 +143,8 @@
     harness = Harness(10.0)
     first, second = harness.acquire(1), harness.acquire(2)
     await asyncio.sleep(0)
-    harness.holder.take_offer(offer(1))
-    harness.holder.release(await first, SlotOutcome.UPSTREAM_FAILED, 0)
+    harness.ingress_queue.accept_offer(offer(1))
+    harness.ingress_queue.release(await first, SlotOutcome.UPSTREAM_FAILED, 0)
     await asyncio.sleep(0)
     assert not second.done()
     second.cancel()
@@ -155,8 +155,8 @@
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
-    harness.holder.take_offer(offer(1, FORMER))
-    harness.holder.release(await task, SlotOutcome.COMPLETED, 0)
+    harness.ingress_queue.accept_offer(offer(1, FORMER))
+    harness.ingress_queue.release(await task, SlotOutcome.COMPLETED, 0)
     receivers = {router_id for router_id, _ in harness.messages(SlotReleased)}
     assert receivers == {"former", "owner"}
 
@@ -165,10 +165,10 @@
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
-    harness.holder.take_offer(offer(1))
+    harness.ingress_queue.accept_offer(offer(1))
     grant = await task
-    harness.holder.release(grant, SlotOutcome.COMPLETED, 0)
-    harness.holder.release(grant, SlotOutcome.COMPLETED, 0)
+    harness.ingress_queue.release(grant, SlotOutcome.COMPLETED, 0)
+    harness.ingress_queue.release(grant, SlotOutcome.COMPLETED, 0)
     assert len(harness.messages(SlotReleased)) == 1
 
 
@@ -177,13 +177,13 @@
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
-    assert not harness.holder.take_offer(
+    assert not harness.ingress_queue.accept_offer(
         Offer("plain", SlotId(OWNER, 1), "u9", "w1", "", False)
     )
     harness.sent.clear()
     harness.demand_sent.clear()
     harness.clock.time += 1.0
-    harness.holder.decline(offer(1))
+    harness.ingress_queue.decline(offer(1))
     assert harness.messages(OfferDeclined)
     # An immediate demand message would cause the same offer again.
     assert not harness.messages(Demand)
@@ -204,10 +204,10 @@
     """Guards against demand messages that exceed the control budget."""
     harness = Harness(0.0)
     harness.message_bytes = message_bytes
-    harness.holder.demand.send_full()
+    harness.ingress_queue.demand.send_full()
     harness.sent.clear()
     harness.clock.time += elapsed
-    harness.holder.demand.send_full_if_due()
+    harness.ingress_queue.demand.send_full_if_due()
     assert bool(harness.messages(Demand)) is is_sent
 
 
@@ -215,7 +215,7 @@
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
-    harness.holder.refuse_all()
+    harness.ingress_queue.refuse_all()
     with pytest.raises(Exception, match="does not exist"):
         await task
 
@@ -230,11 +230,11 @@
     await asyncio.sleep(0)
     if is_cancelled_first:
         task.cancel()
-    assert harness.holder.take_offer(offer(1))
+    assert harness.ingress_queue.accept_offer(offer(1))
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert task.cancelled()
-    assert harness.holder.active_slots == 0
-    assert harness.holder.waiting_by_workspace == {}
+    assert harness.ingress_queue.active_slots == 0
+    assert harness.ingress_queue.waiting_by_workspace == {}
     ((_, released),) = harness.messages(SlotReleased)
     assert released.outcome is SlotOutcome.CANCELLED
--- a/tests/router/components/upstreams/test_connections.py
+++ b/tests/router/components/upstreams/test_connections.py
@@ -21,14 +21,14 @@
     def __init__(self) -> None:
         self.ports: list[int] = []
         self.arrivals: asyncio.Queue[None] = asyncio.Queue()
-        self.may_answer = asyncio.Event()
-        self.may_answer.set()
+        self.may_respond = asyncio.Event()
+        self.may_respond.set()
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         self.ports.append(scope["client"][1])
         self.arrivals.put_nowait(None)
         await receive()
-        await self.may_answer.wait()
+        await self.may_respond.wait()
         headers = dict(scope["headers"])
         request_id = headers[b"x-request-id"]
         head = [(b"x-request-id", request_id), (b"content-length", b"2")]
@@ -55,15 +55,15 @@
 
 
 async def call(pool: UpstreamConnections, request_id: str) -> bytes:
-    answer = await pool.async_call(
+    response = await pool.async_call(
         UpstreamCall(request_id, "GET", "/", (), b"", 10.0), lambda _: None
     )
     try:
-        return b"".join([part async for part in answer.body()])
+        return b"".join([part async for part in response.body()])
     finally:
-        await answer.async_close()
+        await response.async_close()
         # A second close must not make the connection idle twice.
-        await answer.async_close()
+        await response.async_close()
 
 
 async def test_a_connection_is_used_again(
@@ -80,13 +80,13 @@
 ) -> None:
     """Guards against two calls on one connection after a double close."""
     await call(connections, "aa")
-    upstream.may_answer.clear()
+    upstream.may_respond.clear()
     calls = [
         asyncio.create_task(call(connections, name)) for name in ("bb", "cc")
     ]
     for _ in range(3):
         await upstream.arrivals.get()
-    upstream.may_answer.set()
+    upstream.may_respond.set()
     assert await asyncio.gather(*calls) == [b"bb", b"cc"]
     assert len(set(upstream.ports[1:])) == 2
 
@@ -97,13 +97,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against idle connections that stay open forever."""
-    upstream.may_answer.clear()
+    upstream.may_respond.clear()
     calls = [
         asyncio.create_task(call(connections, name)) for name in ("aa", "bb")
     ]
     for _ in range(2):
         await upstream.arrivals.get()
-    upstream.may_answer.set()
+    upstream.may_respond.set()
     await asyncio.gather(*calls)
     assert len(connections._transports) == 2
     monkeypatch.setattr(module, "IDLE_EXPIRY_SECONDS", -1.0)
@@ -115,11 +115,11 @@
     upstream: Upstream, connections: UpstreamConnections
 ) -> None:
     """Guards against transports that leak when callers disconnect."""
-    upstream.may_answer.clear()
+    upstream.may_respond.clear()
     task = asyncio.create_task(call(connections, "aa"))
     await upstream.arrivals.get()
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
-    upstream.may_answer.set()
+    upstream.may_respond.set()
     assert await call(connections, "bb") == b"bb"
     assert len(connections._transports) == 1
--- a/tests/router/components/upstreams/test_health.py
+++ b/tests/router/components/upstreams/test_health.py
@@ -30,15 +30,15 @@
 
     def __init__(self) -> None:
         self.calls: list[str] = []
-        self.answers_by_path = defaultdict(lambda: [NOT_FOUND])
-        client = httpx.AsyncClient(transport=httpx.MockTransport(self._answer))
+        self.responses_by_path = defaultdict(lambda: [NOT_FOUND])
+        client = httpx.AsyncClient(transport=httpx.MockTransport(self._respond))
         now = asyncio.get_running_loop().time
         super().__init__(client, "d", now, Random(1), {})
 
-    def _answer(self, request: httpx.Request) -> httpx.Response:
+    def _respond(self, request: httpx.Request) -> httpx.Response:
         self.calls.append(request.url.host + request.url.path)
-        answers = self.answers_by_path[request.url.path]
-        item = answers.pop(0) if len(answers) > 1 else answers[0]
+        responses = self.responses_by_path[request.url.path]
+        item = responses.pop(0) if len(responses) > 1 else responses[0]
         if isinstance(item, Exception):
             raise item
         return httpx.Response(item.status_code, content=item.content)
@@ -64,8 +64,8 @@
 
 async def test_failing_upstream_returns_after_a_probe(monitor: Monitor) -> None:
     """A crashed upstream gets no requests until a probe succeeds."""
-    monitor.answers_by_path["/load"] = [httpx.ConnectError(""), NOT_FOUND]
-    monitor.answers_by_path["/health"] = [
+    monitor.responses_by_path["/load"] = [httpx.ConnectError(""), NOT_FOUND]
+    monitor.responses_by_path["/health"] = [
         httpx.Response(200),
         httpx.ReadTimeout("silent"),
         httpx.Response(503),
@@ -98,7 +98,7 @@
     await asyncio.sleep(0)
     for upstream_id in ("far", "not listed"):
         error = error_type("", run=RunState.UNKNOWN)
-        monitor.on_failure("s", upstream_id, error)
+        monitor.record_failure("s", upstream_id, error)
     assert monitor.state("far")[0] == state
     if state == "failing":
         await monitor.async_wait_for("healthy", 10, name="far")
@@ -112,7 +112,7 @@
     monitor.set_leaving_vms(frozenset({"vm-u"}))
     monitor.set_upstreams({"s": [LOCAL, REMOTE]})
     assert monitor.state() == ("leaving", 0)
-    monitor.on_answer("s", "u", 0.1)
+    monitor.record_response("s", "u", 0.1)
     monitor.set_leaving_vms(frozenset({"vm-far"}))
     assert monitor.state() == ("unknown", 10)
     assert monitor.state("far") == ("leaving", 0)
@@ -122,7 +122,7 @@
     monitor: Monitor,
 ) -> None:
     """Guards against every router polling every upstream."""
-    monitor.answers_by_path["/load"] = [BUSY]
+    monitor.responses_by_path["/load"] = [BUSY]
     monitor.set_polled([("s", "second"), ("s", "far")])
     monitor.set_upstreams({"s": [LOCAL, REMOTE, SECOND]})
     await monitor.async_wait_for("healthy", 8, name="second")
@@ -132,7 +132,7 @@
 async def test_document_changes(monitor: Monitor) -> None:
     """A replaced upstream must not pass its state to its successor."""
     monitor.set_upstreams({"s": [LOCAL]})
-    monitor.on_answer("s", "u", 0.1)
+    monitor.record_response("s", "u", 0.1)
     for address, state in (
         ("http://u:1", "healthy"),
         ("http://u:2", "unknown"),
--- a/tests/router/conftest.py
+++ b/tests/router/conftest.py
@@ -190,9 +190,9 @@
         return self.release_confirmed
 
     def record_outcome(
-        self, _claim: ClaimGranted, answer: ClaimAnswered
+        self, _claim: ClaimGranted, response: ClaimAnswered
     ) -> None:
-        self.outcomes.append(answer)
+        self.outcomes.append(response)
 
 
 @dataclass
--- a/tests/router/test_claimed.py
+++ b/tests/router/test_claimed.py
@@ -51,9 +51,9 @@
     """Guards against a second run and against a wrong run state."""
     async with routed(GOOD) as router:
         router.claims.decision = decision
-        answer = await pay(router)
-        error = answer.json()["error"]
-        assert (answer.status_code, error["code"]) == (status, code)
+        response = await pay(router)
+        error = response.json()["error"]
+        assert (response.status_code, error["code"]) == (status, code)
         assert error["run"] == run
         assert router.scheduler.requests == []
 
@@ -61,9 +61,9 @@
 async def test_first_answer_is_replayed() -> None:
     async with routed(GOOD) as router:
         router.claims.decision = ClaimAnswered(201, "text/y", b"first")
-        answer = await pay(router)
-        assert (answer.status_code, answer.content) == (201, b"first")
-        assert answer.headers["content-type"] == "text/y"
+        response = await pay(router)
+        assert (response.status_code, response.content) == (201, b"first")
+        assert response.headers["content-type"] == "text/y"
         assert router.scheduler.requests == []
 
 
@@ -193,10 +193,10 @@
     claims = ExpiringClaims()
     claims.release_confirmed = is_released
     async with routed(GOOD, claims=claims) as router:
-        answer = await pay(router)
+        response = await pay(router)
         assert claims.released == 1
         if is_released:
-            assert answer.content == b"good"
+            assert response.content == b"good"
         else:
-            error = answer.json()["error"]
+            error = response.json()["error"]
             assert (error["code"], error["run"]) == ("claim_expired", "unknown")
--- a/tests/router/test_refusals.py
+++ b/tests/router/test_refusals.py
@@ -92,14 +92,14 @@
             documents["swap"], service="other", workspaces=()
         )
         router.proxy.apply_configuration()
-        answer = await router.client.request(
+        response = await router.client.request(
             method, path, headers=AUTHORIZED | headers, content=body
         )
-        error = answer.json()["error"]
-        assert (answer.status_code, error["code"]) == (status, code)
+        error = response.json()["error"]
+        assert (response.status_code, error["code"]) == (status, code)
         assert error["run"] == "not_run"
-        assert error["request_id"] == answer.headers["x-request-id"]
-        assert answer.headers["traceparent"]
+        assert error["request_id"] == response.headers["x-request-id"]
+        assert response.headers["traceparent"]
         assert router.scheduler.requests == []
         assert router.proxy.in_flight_count == 0
 
@@ -120,13 +120,13 @@
     async with routed(ports=(9,)) as router:
         router.application.life_cycle = life_cycle
         router.configuration.is_ready = is_ready
-        answer = await router.client.post(path, headers=AUTHORIZED)
-        assert (answer.status_code, answer.json()["error"]["code"]) == (
+        response = await router.client.post(path, headers=AUTHORIZED)
+        assert (response.status_code, response.json()["error"]["code"]) == (
             503,
             code,
         )
-        assert int(answer.headers["retry-after"]) >= 1
-        assert answer.headers["connection"] == "close"
+        assert int(response.headers["retry-after"]) >= 1
+        assert response.headers["connection"] == "close"
 
 
 async def test_token_that_is_withdrawn_is_refused_at_once() -> None:
@@ -138,14 +138,14 @@
         for listener in router.configuration.listeners:
             listener()
         router.proxy.apply_configuration()
-        answer = await router.chat()
-        assert answer.json()["error"]["code"] == "token_unknown"
+        response = await router.chat()
+        assert response.json()["error"]["code"] == "token_unknown"
 
 
 async def test_model_list_shows_the_callers_models_only() -> None:
     async with routed(ports=(9,)) as router:
-        answer = await router.client.get("/v1/models", headers=AUTHORIZED)
-        assert [item["id"] for item in answer.json()["data"]] == ["small"]
+        response = await router.client.get("/v1/models", headers=AUTHORIZED)
+        assert [item["id"] for item in response.json()["data"]] == ["small"]
         other = {"authorization": f"Bearer {OTHER_TOKEN}"}
-        answer = await router.client.get("/v1/models", headers=other)
-        assert answer.status_code == 401
+        response = await router.client.get("/v1/models", headers=other)
+        assert response.status_code == 401
--- a/tests/router/test_retries.py
+++ b/tests/router/test_retries.py
@@ -55,23 +55,23 @@
 ) -> None:
     """Guards against lost requests, second runs and wrong run states."""
     async with routed(failing, GOOD) as router:
-        answer = await router.client.request(
+        response = await router.client.request(
             method, path, headers=AUTHORIZED, content=b'{"model": "small"}'
         )
         used = [upstream for upstream, _, _ in router.scheduler.released]
         if retried:
-            assert (answer.status_code, answer.content) == (200, b"good")
+            assert (response.status_code, response.content) == (200, b"good")
             assert used == ["upstream-0", "upstream-1"]
         else:
-            assert answer.json()["error"]["run"] == run
+            assert response.json()["error"]["run"] == run
             assert used == ["upstream-0"]
 
 
 async def test_no_connection_is_retried_even_for_a_post() -> None:
     async with routed(GOOD, ports=closed_ports(1)) as router:
         path = "/services/swap/x"
-        answer = await router.client.post(path, headers=AUTHORIZED)
-        assert answer.content == b"good"
+        response = await router.client.post(path, headers=AUTHORIZED)
+        assert response.content == b"good"
         outcomes = [outcome for _, outcome, _ in router.scheduler.released]
         assert outcomes == [SlotOutcome.UPSTREAM_FAILED, SlotOutcome.COMPLETED]
 
@@ -79,9 +79,9 @@
 async def test_attempts_are_limited() -> None:
     """Guards against a request that tries every upstream."""
     async with routed(ports=closed_ports(4)) as router:
-        answer = await router.chat()
-        assert answer.json()["error"]["code"] == "upstream_unreachable"
-        assert answer.json()["error"]["run"] == "not_run"
+        response = await router.chat()
+        assert response.json()["error"]["code"] == "upstream_unreachable"
+        assert response.json()["error"]["run"] == "not_run"
         assert len(router.scheduler.requests) == 3
         excluded = router.scheduler.requests[-1].excluded_upstreams
         assert excluded == {"upstream-0", "upstream-1"}
@@ -91,13 +91,13 @@
     """Guards against `not_run` for a request whose first attempt ran."""
     async with routed(BROKEN, GOOD) as router:
         router.scheduler.full_upstreams.add("upstream-1")
-        answer = await router.chat()
-        assert answer.json()["error"] == {
+        response = await router.chat()
+        assert response.json()["error"] == {
             "code": "no_upstream",
             "message": "no upstream is left",
             "run": "unknown",
             "retry_after_seconds": None,
-            "request_id": answer.headers["x-request-id"],
+            "request_id": response.headers["x-request-id"],
         }
     async with routed(BROKEN, REFUSING) as router:
         error = (await router.chat()).json()["error"]
@@ -107,9 +107,9 @@
 async def test_retries_are_limited_by_the_budget() -> None:
     """Guards against retries that multiply the load of an outage."""
     async with routed(BROKEN, BROKEN, GOOD) as router:
-        answers = [await router.chat() for _ in range(2)]
-        assert [answer.status_code for answer in answers] == [200, 502]
-        assert answers[1].headers["retry-after"] == "1"
+        responses = [await router.chat() for _ in range(2)]
+        assert [response.status_code for response in responses] == [200, 502]
+        assert responses[1].headers["retry-after"] == "1"
         # Two retries of the first request and one of the second.
         assert len(router.scheduler.requests) == 5
 
@@ -132,9 +132,9 @@
                 RouterLife("r2", 1), "dc-a", Quarantine("chat", crashes)
             )
         )
-        answer = await request
-        error = answer.json()["error"]
-        assert (answer.status_code, error["code"]) == (422, "quarantined")
+        response = await request
+        error = response.json()["error"]
+        assert (response.status_code, error["code"]) == (422, "quarantined")
         assert error["run"] == "not_run"
-        assert 590 < int(answer.headers["retry-after"]) <= 600
+        assert 590 < int(response.headers["retry-after"]) <= 600
         assert router.scheduler.released == []
--- a/tests/router/test_streams.py
+++ b/tests/router/test_streams.py
@@ -11,14 +11,14 @@
 
 from lacewingspar_core.messages import SlotOutcome
 from lacewingspar_router.components.caller_api.answer_body import (
-    AnswerTail,
-    EventGate,
+    CompleteEventBuffer,
+    ResponseTail,
 )
 from lacewingspar_router.components.caller_api.const import (
     METRIC_CHART_ERRORS,
 )
 from lacewingspar_router.components.caller_api.in_flight import (
-    InFlight,
+    InFlightRequests,
     RequestTrack,
 )
 
@@ -35,8 +35,8 @@
     try:
         async with router.client.stream(
             "POST", path, headers=AUTHORIZED, content=body
-        ) as answer:
-            async for part in answer.aiter_raw():
+        ) as response:
+            async for part in response.aiter_raw():
                 received += part
     except httpx.RemoteProtocolError:
         return received, False
@@ -50,22 +50,24 @@
     upstream = answering(b"{}", status=418, headers=headers, calls=calls)
     async with routed(upstream) as router:
         for _ in range(2):
-            answer = await router.client.put(
+            response = await router.client.put(
                 "/services/swap/a%2Fb/?q=%20",
                 headers=AUTHORIZED | {"x-c": "3", "idempotency-key": "k"},
                 content=b"1",
             )
             # Otherwise the test client would send the cookie itself.
             router.client.cookies.clear()
-        assert (answer.status_code, answer.content) == (418, b"{}")
-        assert answer.headers["x-a"] == "1"
-        assert "x-b" not in answer.headers
+        assert (response.status_code, response.content) == (418, b"{}")
+        assert response.headers["x-a"] == "1"
+        assert "x-b" not in response.headers
         sent = dict(calls[1]["headers"])
         assert calls[1]["raw_path"] == b"/a%2Fb/"
         assert calls[1]["query_string"] == b"q=%20"
         assert sent[b"x-c"] == b"3"
         assert sent[b"idempotency-key"] == b"alpha/k"
-        assert sent[b"x-request-id"].decode() == answer.headers["x-request-id"]
+        assert (
+            sent[b"x-request-id"].decode() == response.headers["x-request-id"]
+        )
         # A token or a cookie of one caller must not reach other services.
         assert not sent.keys() & {b"authorization", b"cookie"}
 
@@ -80,9 +82,9 @@
             "/v1/chat/completions",
             headers=AUTHORIZED,
             content=b'{"model": "small"}',
-        ) as answer,
+        ) as response,
     ):
-        parts = answer.aiter_raw()
+        parts = response.aiter_raw()
         assert await anext(parts) == FIRST
         hold.set()
         assert b"stream_interrupted" in await anext(parts)
@@ -143,8 +145,10 @@
     server = await asyncio.start_server(handle, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     async with server, routed(ports=(port,)) as router:
-        answer = await router.client.post("/services/swap/", headers=AUTHORIZED)
-        assert answer.json()["error"]["code"] == "upstream_broken"
+        response = await router.client.post(
+            "/services/swap/", headers=AUTHORIZED
+        )
+        assert response.json()["error"]["code"] == "upstream_broken"
 
 
 async def test_caller_who_leaves_frees_the_slot() -> None:
@@ -167,16 +171,16 @@
     upstream = answering(status=status)
     async with routed(upstream) as router:
         for _ in range(2):
-            answer = await router.client.request(
+            response = await router.client.request(
                 method, "/services/swap/", headers=AUTHORIZED
             )
-            assert (answer.status_code, answer.content) == (status, b"")
+            assert (response.status_code, response.content) == (status, b"")
 
 
 async def test_path_of_a_request_names_its_hops() -> None:
     async with routed(answering(b"{}")) as router:
-        answer = await router.chat()
-        path = router.proxy.request_path(answer.headers["x-request-id"])
+        response = await router.chat()
+        path = router.proxy.request_path(response.headers["x-request-id"])
         assert path is not None
         assert [hop["hop"] for hop in path["hops"]] == [
             "queue",
@@ -191,9 +195,9 @@
 def test_event_without_transition_is_counted() -> None:
     """Guards against a request that fails because of a state chart bug."""
     telemetry = Mock()
-    in_flight = InFlight(lambda: 0.0, telemetry)
+    in_flight = InFlightRequests(lambda: 0.0, telemetry)
     track = RequestTrack("id", "GET", "/", 0.0)
-    in_flight.apply(track, "answer_ended")
+    in_flight.apply_event(track, "answer_ended")
     assert track.state == "received"
     telemetry.count.assert_called_once_with(
         METRIC_CHART_ERRORS, state="received", event="answer_ended"
@@ -204,11 +208,11 @@
 def test_gate_passes_whole_events_only(size: int) -> None:
     """An error event must not follow an incomplete event."""
     data = b"data: a\n\ndata: b\r\n\r\ndata: c\n\ndata: d"
-    gate, passed = EventGate(), b""
+    buffer, passed = CompleteEventBuffer(), b""
     for start in range(0, len(data), size):
-        passed += gate.push(data[start : start + size])
+        passed += buffer.push(data[start : start + size])
         assert not passed or passed.endswith((b"\n\n", b"\r\n\r\n"))
-    assert passed + gate.flush() == data
+    assert passed + buffer.flush() == data
     assert passed == data[: -len(b"data: d")]
 
 
@@ -227,7 +231,7 @@
 )
 def test_tail(text: bytes, is_complete: bool, tokens: int) -> None:
     """Guards against generated text that looks like the end marker."""
-    tail = AnswerTail()
+    tail = ResponseTail()
     for start in range(0, len(text), 5):
         tail.add(text[start : start + 5])
     assert (tail.has_end_marker, tail.tokens) == (is_complete, tokens)
