--- a/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
@@ -47,7 +47,7 @@
 from lacewingspar_router.components.scheduler.event_recorder import (
     EventRecorder,
 )
-from lacewingspar_router.components.scheduler.ingress_queue import IngressQueue
+from lacewingspar_router.components.scheduler.holder import IngressQueue
 from lacewingspar_router.components.scheduler.models import (
     SlotGrant,
     SlotRequest,
--- a/packages/router/src/lacewingspar_router/components/upstreams/pool.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/pool.py
@@ -13,6 +13,9 @@
     CONFIGURATION,
 )
 from lacewingspar_router.components.telemetry.models import TELEMETRY
+from lacewingspar_router.components.upstreams.answer import (
+    HttpUpstreamResponse,
+)
 from lacewingspar_router.components.upstreams.connections import (
     UpstreamConnections,
 )
@@ -34,9 +37,6 @@
     UpstreamCall,
     UpstreamStatus,
 )
-from lacewingspar_router.components.upstreams.response import (
-    HttpUpstreamResponse,
-)
 from lacewingspar_router.components.vm_list.models import VM_LIST
 from lacewingspar_router.errors import RunState
 
--- a/tests/router/components/test_ingress_queue.py
+++ b/tests/router/components/test_holder.py
@@ -3,7 +3,6 @@
 import asyncio
 
 import pytest
-from lacewingspar_router.components.scheduler.ingress_queue import IngressQueue
 
 from lacewingspar_core.documents import ServiceDocument, validate_document
 from lacewingspar_core.identity import RouterLife
@@ -19,6 +18,7 @@
 )
 from lacewingspar_core.ownership import ServiceOwnership
 from lacewingspar_router.application import Application
+from lacewingspar_router.components.scheduler.holder import IngressQueue
 from lacewingspar_router.components.scheduler.models import (
     SlotGrant,
     SlotRequest,
