--- a/tests/router/components/test_claims.py
+++ b/tests/router/components/test_claims.py
@@ -69,7 +69,7 @@
     assert not claims.may_send(granted)
 
 
-async def test_other_attempts_get_the_first_answer(start, until) -> None:
+async def test_other_attempts_get_the_first_response(start, until) -> None:
     first, second = await start("r1"), await start("r2")
     granted = await claim(first)
     assert first.may_send(granted)
@@ -83,7 +83,7 @@
     assert await claim(second) == ANSWER
 
 
-async def test_large_answer_is_recorded_as_run(start, until) -> None:
+async def test_large_response_is_recorded_without_body(start, until) -> None:
     claims = await start()
     granted = await claim(claims)
     large = models.ClaimAnswered(200, "text/plain", b"x" * 9000)
@@ -112,7 +112,7 @@
     assert isinstance(await claim(second), models.ClaimGranted)
 
 
-async def test_claim_of_a_gone_router_is_unknown(start, fake_log) -> None:
+async def test_claim_of_a_dead_router_is_unknown(start, fake_log) -> None:
     """Guards against a second run after a router crash.
 
     The claim may belong to another router or to an earlier instance of the same
