--- a/tests/router/components/test_claims.py
+++ b/tests/router/components/test_claims.py
@@ -19,7 +19,7 @@
 from lacewingspar_core.platform import STREAM_CLAIMS
 from lacewingspar_router.components.claims import async_setup, models, registry
 
-ANSWER = models.ClaimAnswered(200, "text/plain", b"ok")
+RESPONSE = models.ClaimAnswered(200, "text/plain", b"ok")
 
 
 @pytest.fixture(autouse=True)
@@ -77,10 +77,10 @@
     await until(lambda: len(second._state) == 1)
     assert await claim(second) == models.ClaimInProgress()
     assert await claim(second, digest=b"other") == models.ClaimKeyReused()
-    first.record_outcome(granted, ANSWER)
+    first.record_outcome(granted, RESPONSE)
     await until(lambda: second._state.entry_at(0).outcome)
-    assert await claim(first) == ANSWER
-    assert await claim(second) == ANSWER
+    assert await claim(first) == RESPONSE
+    assert await claim(second) == RESPONSE
 
 
 async def test_large_response_is_recorded_without_body(start, until) -> None:
@@ -118,13 +118,13 @@
     The claim may belong to another router or to an earlier instance of the same
     router.
     """
-    lives = [RouterLife("gone", 1), RouterLife("r1", 1)]
-    for life in lives:
+    instances = [RouterLife("gone", 1), RouterLife("r1", 1)]
+    for life in instances:
         key = claim_key("s", "w", life.router_id)
         record = encode_record(Claim(key, b"d", life, 1))
         fake_log.append(STREAM_CLAIMS, record)
     claims = await start("r1")
-    for life in lives:
+    for life in instances:
         assert await claim(claims, life.router_id) == models.ClaimUnknown()
 
 
@@ -164,7 +164,7 @@
     """Guards against granting a new key while the log is unavailable."""
     claims = await start()
     granted = await claim(claims, "known")
-    claims.record_outcome(granted, ANSWER)
+    claims.record_outcome(granted, RESPONSE)
     await until(lambda: claims._state.entry_at(0).outcome)
     fake_log.append_fault = 503
     assert await claim(claims) == models.ClaimUnavailable()
@@ -172,7 +172,7 @@
     fake_log.append(STREAM_CLAIMS, b"")
     await until(lambda: not claims._is_current)
     assert await claim(claims) == models.ClaimUnavailable()
-    assert await claim(claims, "known") == ANSWER
+    assert await claim(claims, "known") == RESPONSE
     fake_log.is_down = False
     await until(lambda: claims._is_current)
     assert isinstance(await claim(claims), models.ClaimGranted)
@@ -191,7 +191,7 @@
     claims = await start()
     granted = await claim(claims)
     fake_log.append_fault = httpx.ReadTimeout("lost")
-    claims.record_outcome(granted, ANSWER)
+    claims.record_outcome(granted, RESPONSE)
     await until(lambda: claims._state.entry_at(0).outcome)
 
 
