--- a/packages/router/src/lacewingspar_router/components/forwarding/entry.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/entry.py
@@ -71,7 +71,7 @@
         return self._wire_format.refusal(error, identity.request_id)
 
     def begin(self, workspace: str) -> None:
-        """Count a request as in flight until `limit.end` is called.
+        """Count a request as in flight until its end is reported to `limit`.
 
         Raises:
             RequestRefusedError: The limit is reached.
--- a/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
@@ -78,7 +78,7 @@
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
         assert app.settings.platform is not None
-        self._neighbour_loads = NeighbourLoads(
+        self._loads = NeighbourLoads(
             const.HAND_OVER_DESCRIPTOR_FRACTION
             * app.settings.platform.descriptor_limit
         )
@@ -90,7 +90,7 @@
     @property
     def under_way(self) -> int:
         """Return the number of requests in flight at neighbours."""
-        return self._neighbour_loads.under_way
+        return self._loads.under_way
 
     def choose(self, call: Call) -> Neighbour | None:
         """Choose the neighbour to hand a request over to.
@@ -104,9 +104,7 @@
             return None
         if not self.share.take_next():
             return None
-        return self._neighbour_loads.choose(
-            self._known_neighbours(), self._app.now()
-        )
+        return self._loads.choose(self._known_neighbours(), self._app.now())
 
     async def async_run(
         self, exchange: ServerExchange, call: Call, neighbour: Neighbour
@@ -122,7 +120,7 @@
                 may have run.
         """
         outcome = HandOverOutcome.CANCELLED
-        self._neighbour_loads.begin(neighbour.router_id)
+        self._loads.begin(neighbour.router_id)
         remaining_seconds = call.deadline_at - self._app.now()
         try:
             async with asyncio.timeout(
@@ -131,11 +129,11 @@
                 outcome = await self._async_exchange(exchange, call, neighbour)
         except TimeoutError as error:
             outcome = HandOverOutcome.DEADLINE_PASSED
-            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
+            self._loads.skip(neighbour.router_id, self._app.now())
             if not exchange.is_started:
                 raise refusals.deadline_passed(may_have_run=True) from error
         finally:
-            self._neighbour_loads.end(neighbour.router_id)
+            self._loads.end(neighbour.router_id)
             self._record_end(call, neighbour, outcome)
         match outcome:
             case HandOverOutcome.NOT_TAKEN:
@@ -179,7 +177,7 @@
                 const.NON_REPEATABLE_MAX_IDLE_SECONDS
             )
         except ConnectionFailedError:
-            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
+            self._loads.skip(neighbour.router_id, self._app.now())
             return HandOverOutcome.NOT_TAKEN
         is_reusable = False
         try:
@@ -193,7 +191,7 @@
             )
             is_reusable = True
         except (ConnectionBrokenError, InvalidAnswerError) as error:
-            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
+            self._loads.skip(neighbour.router_id, self._app.now())
             _LOGGER.warning(
                 "router failed after a request was handed over to it",
                 request_id=call.fields.request_id,
@@ -208,7 +206,7 @@
             else:
                 connection.abort()
         if refused is not None:
-            self._neighbour_loads.skip(neighbour.router_id, self._app.now())
+            self._loads.skip(neighbour.router_id, self._app.now())
             return HandOverOutcome.NOT_TAKEN
         return HandOverOutcome.ANSWERED
 
