--- /dev/null
+++ b/packages/router/src/lacewingspar_router/components/admission/ingress.py
@@ -0,0 +1,401 @@
+"""Ingress role: requests admission from pool owners for callers' requests."""
+
+import asyncio
+import itertools
+from dataclasses import dataclass, field
+
+import structlog
+
+from lacewingspar_core.admission_events import (
+    Admission,
+    AdmissionDecision,
+    AdmissionKey,
+    Declined,
+    Granted,
+    Queued,
+    RunOutcome,
+)
+from lacewingspar_core.admission_messages import (
+    ReportedRun,
+    RunEnded,
+    RunReport,
+    RunStarted,
+)
+from lacewingspar_router.application import Application
+from lacewingspar_router.components.admission import const
+from lacewingspar_router.components.admission.messages import (
+    DECISION_MESSAGES,
+    decode_decision,
+    encode_decision,
+    encode_request,
+    milliseconds,
+)
+from lacewingspar_router.components.admission.models import (
+    Grant,
+    RequestRequirements,
+)
+from lacewingspar_router.components.admission.owner import OwnedPools
+from lacewingspar_router.components.admission.pools import (
+    OwnerSelector,
+    Pool,
+    PoolSelector,
+)
+from lacewingspar_router.components.peers.models import PEERS, ReceivedMessage
+from lacewingspar_router.components.routing.models import ROUTING
+from lacewingspar_router.components.telemetry.models import TELEMETRY
+from lacewingspar_router.errors import RequestRefusedError
+
+_LOGGER = structlog.get_logger(__name__)
+
+
+@dataclass(slots=True)
+class _PendingRequest:
+    """A request that waits for its final admission decision.
+
+    Attributes:
+        pool: Pool of the request.
+        admission: The admission request.
+        owner: Router that was asked.
+        decisions: Decisions received from the owner, not yet processed.
+    """
+
+    pool: Pool
+    admission: Admission
+    owner: str
+    decisions: asyncio.Queue[AdmissionDecision] = field(
+        default_factory=asyncio.Queue
+    )
+
+
+@dataclass(slots=True)
+class _GrantedRun:
+    """A granted request that has not ended.
+
+    Attributes:
+        pool: Pool that granted the request.
+        admission: The admission request.
+        upstream_id: Upstream that runs the request.
+        owner: Router that accounts for the run.
+        has_first_part: Whether the first chunk of the response has arrived.
+    """
+
+    pool: Pool
+    admission: Admission
+    upstream_id: str
+    owner: str
+    has_first_chunk: bool = False
+
+
+class FleetAdmission:
+    """Admits requests through the pool owners of the whole fleet.
+
+    Args:
+        app: The application.
+    """
+
+    def __init__(self, app: Application) -> None:
+        self._app = app
+        self._routing = app.get(ROUTING)
+        self._peers = app.get(PEERS)
+        self._telemetry = app.get(TELEMETRY)
+        self._pool_selector = PoolSelector(self._routing)
+        self._owner_selector = OwnerSelector(app, self._pool_selector)
+        self._owned_pools = OwnedPools(app, self._deliver_decision)
+        self._request_numbers = itertools.count(1)
+        self._pending_by_number: dict[int, _PendingRequest] = {}
+        self._run_by_number: dict[int, _GrantedRun] = {}
+        for message_type in DECISION_MESSAGES:
+            self._peers.subscribe(message_type, self._on_decision)
+
+    async def async_acquire(
+        self, requirements: RequestRequirements, excluded: frozenset[str]
+    ) -> Grant:
+        """Wait for an upstream; cancelling the call withdraws the request.
+
+        Raises:
+            RequestRefusedError: The owner declined the request; it was not
+                sent to an upstream.
+        """
+        number = next(self._request_numbers)
+        pool = self._pool_selector.pool_for(
+            requirements.service, requirements.shared_parts, number
+        )
+        admission = self._build_admission(requirements, excluded, number)
+        while True:
+            pending = _PendingRequest(
+                pool, admission, self._owner_selector.owner_to_ask(pool)
+            )
+            decision = await self._async_request_decision(pending)
+            match decision:
+                case Granted():
+                    return self._record_grant(pending, decision, requirements)
+                case Declined():
+                    raise self._refusal(pending, decision, requirements)
+                case None:
+                    self._withdraw(pending)
+                    self._owner_selector.mark_unresponsive(pending.owner)
+                    self._telemetry.count("silent_owners_total")
+                    _LOGGER.warning(
+                        "pool owner did not respond; asking the next one",
+                        request_id=requirements.request_id,
+                        owner=pending.owner,
+                        service=pool.service,
+                        shard=pool.shard,
+                    )
+
+    def record_first_chunk(self, grant: Grant) -> None:
+        """Report to the owner that the first chunk of the response arrived."""
+        run = self._run_by_number.get(grant.number)
+        if run is None or run.has_first_chunk:
+            return
+        run.has_first_chunk = True
+        if run.owner == self._app.instance.router_id:
+            self._owned_pools.record_first_chunk(run.pool, run.admission.key)
+            return
+        self._peers.send(
+            run.owner,
+            RunStarted(run.pool.service, run.pool.shard, grant.number),
+        )
+
+    def end(
+        self,
+        grant: Grant,
+        outcome: RunOutcome,
+        *,
+        is_unreachable: bool = False,
+    ) -> None:
+        """Report the end of a run to its owner; repeats have no effect."""
+        run = self._run_by_number.pop(grant.number, None)
+        if run is None:
+            return
+        unreachable = run.upstream_id if is_unreachable else ""
+        self._end_at_owner(
+            run.owner, run.pool, run.admission.key, outcome, unreachable
+        )
+
+    def report_runs(self) -> None:
+        """Report the runs of this router to the owners of their pools.
+
+        These reports also tell the new owner of a pool about existing runs.
+        """
+        reported: dict[tuple[Pool, str], list[ReportedRun]] = {}
+        for number, run in self._run_by_number.items():
+            self._transfer_to_current_owner(run)
+            reported.setdefault((run.pool, run.owner), []).append(
+                self._reported_run(number, run)
+            )
+        for (pool, owner), runs in reported.items():
+            report = RunReport(pool.service, pool.shard, tuple(runs))
+            if owner == self._app.instance.router_id:
+                self._owned_pools.reconcile(self._app.instance, report)
+            else:
+                self._peers.send(owner, report)
+
+    def _transfer_to_current_owner(self, run: _GrantedRun) -> None:
+        """Move the accounting of a run to the current owner of its pool."""
+        owner = self._owner_selector.current_owner(run.pool)
+        if owner == run.owner:
+            return
+        key = run.admission.key
+        self._end_at_owner(run.owner, run.pool, key, RunOutcome.CANCELLED, "")
+        run.owner = owner
+
+    def tick(self) -> None:
+        """Decline requests of owned pools that would miss their deadline."""
+        self._owned_pools.tick()
+
+    def log_pool_loads(self) -> None:
+        """Log the load of each owned pool."""
+        self._owned_pools.log_loads()
+
+    async def _async_request_decision(
+        self, pending: _PendingRequest
+    ) -> AdmissionDecision | None:
+        """Return the final decision, or None if the owner does not respond."""
+        number = pending.admission.key.number
+        self._pending_by_number[number] = pending
+        is_settled = False
+        try:
+            while True:
+                self._send_request(pending)
+                decision: AdmissionDecision | None
+                async with asyncio.timeout(self._response_timeout(pending)):
+                    decision = await pending.decisions.get()
+                self._owner_selector.mark_responsive(pending.owner)
+                if isinstance(decision, Queued):
+                    decision = await self._async_next_decision(pending)
+                if isinstance(decision, Granted | Declined):
+                    is_settled = True
+                    return decision
+        except TimeoutError:
+            is_settled = True
+            return None
+        finally:
+            self._pending_by_number.pop(number, None)
+            if not is_settled:
+                self._withdraw(pending)
+
+    async def _async_next_decision(
+        self, pending: _PendingRequest
+    ) -> AdmissionDecision | None:
+        """Return the next decision, or None when the recheck is due."""
+        try:
+            async with asyncio.timeout(const.QUEUED_RECHECK_INTERVAL_SECONDS):
+                return await pending.decisions.get()
+        except TimeoutError:
+            return None
+
+    def _response_timeout(self, pending: _PendingRequest) -> float | None:
+        if pending.owner == self._app.instance.router_id:
+            return None
+        return const.OWNER_RESPONSE_TIMEOUT_SECONDS
+
+    def _send_request(self, pending: _PendingRequest) -> None:
+        admission = pending.admission
+        if pending.owner == self._app.instance.router_id:
+            self._owned_pools.submit(pending.pool, admission)
+            return
+        request = encode_request(pending.pool, admission, self._app.now())
+        self._peers.send(pending.owner, request)
+
+    def _withdraw(self, pending: _PendingRequest) -> None:
+        """Notify the owner that a request no longer needs an upstream."""
+        self._end_at_owner(
+            pending.owner,
+            pending.pool,
+            pending.admission.key,
+            RunOutcome.CANCELLED,
+            "",
+        )
+
+    def _end_at_owner(
+        self,
+        owner: str,
+        pool: Pool,
+        key: AdmissionKey,
+        outcome: RunOutcome,
+        unreachable: str,
+    ) -> None:
+        if owner == self._app.instance.router_id:
+            self._owned_pools.end(pool, key, outcome, unreachable)
+            return
+        message = RunEnded(
+            pool.service, pool.shard, key.number, outcome, unreachable
+        )
+        self._peers.send(owner, message)
+
+    def _record_grant(
+        self,
+        pending: _PendingRequest,
+        granted: Granted,
+        requirements: RequestRequirements,
+    ) -> Grant:
+        number = granted.key.number
+        self._run_by_number[number] = _GrantedRun(
+            pending.pool, pending.admission, granted.upstream_id, pending.owner
+        )
+        _LOGGER.info(
+            "request admitted",
+            request_id=requirements.request_id,
+            service=requirements.service,
+            workspace=requirements.workspace,
+            upstream=granted.upstream_id,
+            fetch_from=granted.fetch_from,
+            owner=pending.owner,
+            prompt_tokens=pending.admission.prompt_tokens,
+            output_tokens=requirements.output_tokens,
+            waited_ms=milliseconds(self._app.now() - requirements.arrived_at),
+            directory_age_ms=milliseconds(self._routing.directory_age_seconds),
+        )
+        return Grant(
+            number, granted.upstream_id, granted.fetch_from, pending.owner
+        )
+
+    def _refusal(
+        self,
+        pending: _PendingRequest,
+        declined: Declined,
+        requirements: RequestRequirements,
+    ) -> RequestRefusedError:
+        self._telemetry.count(
+            "declined_total",
+            service=requirements.service,
+            reason=declined.reason,
+        )
+        _LOGGER.info(
+            "request declined",
+            request_id=requirements.request_id,
+            service=requirements.service,
+            workspace=requirements.workspace,
+            reason=declined.reason,
+            expected_wait_ms=milliseconds(declined.wait_seconds),
+            retry_after_ms=milliseconds(declined.retry_after_seconds),
+            owner=pending.owner,
+            directory_age_ms=milliseconds(self._routing.directory_age_seconds),
+        )
+        return RequestRefusedError(
+            503,
+            declined.reason,
+            f"no upstream of {requirements.service} can respond in time",
+            retry_after_seconds=declined.retry_after_seconds,
+        )
+
+    def _build_admission(
+        self,
+        requirements: RequestRequirements,
+        excluded: frozenset[str],
+        number: int,
+    ) -> Admission:
+        return Admission(
+            key=AdmissionKey(self._app.instance, number),
+            workspace=requirements.workspace,
+            data_centre=self._app.settings.data_centre,
+            shared_parts=requirements.shared_parts,
+            own_tokens=requirements.own_tokens,
+            output_tokens=requirements.output_tokens,
+            priority=requirements.priority,
+            arrived_at=requirements.arrived_at,
+            latency_target_at=requirements.latency_target_at,
+            deadline_at=requirements.deadline_at,
+            identity=requirements.identity,
+            excluded=excluded,
+            first_chunk_timeout_seconds=requirements.first_chunk_timeout_seconds,
+        )
+
+    def _reported_run(self, number: int, run: _GrantedRun) -> ReportedRun:
+        admission = run.admission
+        remaining_seconds = admission.deadline_at - self._app.now()
+        return ReportedRun(
+            number=number,
+            upstream_id=run.upstream_id,
+            pending_prefill_tokens=0
+            if run.has_first_chunk
+            else admission.own_tokens,
+            memory_tokens=admission.prompt_tokens + admission.output_tokens,
+            remaining_ms=max(0, milliseconds(remaining_seconds)),
+        )
+
+    def _deliver_decision(
+        self, service: str, decision: AdmissionDecision
+    ) -> None:
+        """Deliver the decision of an owned pool to the ingress router."""
+        key = decision.key
+        if key.ingress_router == self._app.instance:
+            self._enqueue_decision(self._app.instance.router_id, decision)
+            return
+        self._peers.send(
+            key.ingress_router.router_id, encode_decision(service, decision)
+        )
+
+    def _enqueue_decision(
+        self, owner: str, decision: AdmissionDecision
+    ) -> None:
+        # Ignore late decisions of owners from which the request was withdrawn.
+        pending = self._pending_by_number.get(decision.key.number)
+        if pending is not None and pending.owner == owner:
+            pending.decisions.put_nowait(decision)
+
+    def _on_decision(self, received: ReceivedMessage) -> None:
+        decision = decode_decision(self._app.instance, received.message)
+        if decision is not None:
+            self._enqueue_decision(received.sender.router_id, decision)
--- a/packages/router/src/lacewingspar_router/components/admission/messages.py
+++ b/packages/router/src/lacewingspar_router/components/admission/messages.py
@@ -1,4 +1,4 @@
-"""Requests and decisions as messages between holders and owners."""
+"""Conversion of admission requests and decisions to and from messages."""
 
 from lacewingspar_core.admission_events import (
     Admission,
@@ -14,23 +14,23 @@
     AdmissionQueued,
     AdmissionRequest,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import AnyPeerMessage
-from lacewingspar_core.prefix_memory import PromptPart
+from lacewingspar_core.prefix_cache import PromptPart
 from lacewingspar_router.components.admission.pools import Pool
 
 DECISION_MESSAGES = (AdmissionGranted, AdmissionQueued, AdmissionDeclined)
 
 
 def milliseconds(seconds: float) -> int:
-    """Return a time in whole milliseconds."""
+    """Convert seconds to whole milliseconds."""
     return round(seconds * 1000)
 
 
-def request_of(
+def encode_request(
     pool: Pool, admission: Admission, now: float
 ) -> AdmissionRequest:
-    """Return the message that asks for an upstream."""
+    """Return the message that requests admission to a pool."""
     return AdmissionRequest(
         service=pool.service,
         shard=pool.shard,
@@ -41,27 +41,32 @@
         output_tokens=admission.output_tokens,
         priority=admission.priority,
         waited_ms=milliseconds(now - admission.arrived_at),
-        aim_ms=milliseconds(admission.aim_at - now),
+        latency_target_ms=milliseconds(admission.latency_target_at - now),
         deadline_ms=milliseconds(admission.deadline_at - now),
         identity=admission.identity,
         excluded=tuple(admission.excluded),
-        give_up_ms=milliseconds(admission.given_up_at - now),
+        first_chunk_deadline_ms=milliseconds(
+            admission.first_chunk_deadline_at - now
+        ),
     )
 
 
-def admission_of(
-    holder: RouterLife, data_centre: str, request: AdmissionRequest, now: float
+def decode_request(
+    ingress_router: RouterInstance,
+    data_centre: str,
+    request: AdmissionRequest,
+    now: float,
 ) -> Admission:
-    """Return the request that a message asks for.
+    """Return the admission request that a message contains.
 
     Args:
-        holder: Sender of the message.
-        data_centre: Its data centre.
+        ingress_router: Router that sent the message.
+        data_centre: Data centre of the sender.
         request: The message.
-        now: Time of the receiver in seconds.
+        now: Time in seconds on the receiver's clock.
     """
     return Admission(
-        key=AdmissionKey(holder, request.number),
+        key=AdmissionKey(ingress_router, request.number),
         workspace=request.workspace,
         data_centre=data_centre,
         shared_parts=tuple(PromptPart(*part) for part in request.parts),
@@ -69,16 +74,21 @@
         output_tokens=request.output_tokens,
         priority=request.priority,
         arrived_at=now - request.waited_ms / 1000,
-        aim_at=now + request.aim_ms / 1000,
+        latency_target_at=now + request.latency_target_ms / 1000,
         deadline_at=now + request.deadline_ms / 1000,
         identity=request.identity,
         excluded=frozenset(request.excluded),
-        patience_seconds=(request.waited_ms + request.give_up_ms) / 1000,
+        first_chunk_timeout_seconds=(
+            request.waited_ms + request.first_chunk_deadline_ms
+        )
+        / 1000,
     )
 
 
-def message_of(service: str, decision: AdmissionDecision) -> AnyPeerMessage:
-    """Return the message that carries a decision."""
+def encode_decision(
+    service: str, decision: AdmissionDecision
+) -> AnyPeerMessage:
+    """Return the message that contains a decision."""
     number = decision.key.number
     match decision:
         case Granted(_, upstream_id, fetch_from):
@@ -95,24 +105,25 @@
             )
 
 
-def decision_of(
-    holder: RouterLife, message: AnyPeerMessage
+def decode_decision(
+    ingress_router: RouterInstance, message: AnyPeerMessage
 ) -> AdmissionDecision | None:
-    """Return the decision that a message carries, or None for others."""
+    """Return the decision in a message, or None for other messages."""
     match message:
         case AdmissionGranted():
             return Granted(
-                AdmissionKey(holder, message.number),
+                AdmissionKey(ingress_router, message.number),
                 message.upstream_id,
                 message.fetch_from,
             )
         case AdmissionQueued():
             return Queued(
-                AdmissionKey(holder, message.number), message.wait_ms / 1000
+                AdmissionKey(ingress_router, message.number),
+                message.wait_ms / 1000,
             )
         case AdmissionDeclined():
             return Declined(
-                AdmissionKey(holder, message.number),
+                AdmissionKey(ingress_router, message.number),
                 message.reason,
                 message.wait_ms / 1000,
                 message.retry_after_ms / 1000,
--- a/packages/router/src/lacewingspar_router/components/caller_api/slot_wait.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/slot_acquirer.py
@@ -1,10 +1,10 @@
-"""Wait of a request for a slot that it may use."""
+"""Acquisition of slots with regard to the quarantine."""
 
 import asyncio
 
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.caller_api.const import (
-    SUSPECT_QUEUE_SECONDS,
+    SUSPECT_RECHECK_SECONDS,
 )
 from lacewingspar_router.components.caller_api.refusals import (
     quarantined,
@@ -13,7 +13,7 @@
 from lacewingspar_router.components.caller_api.requests import CallerRequest
 from lacewingspar_router.components.caller_api.retrying import (
     Attempts,
-    upstreams_with_new_work,
+    available_upstreams,
 )
 from lacewingspar_router.components.caller_api.slot_use import SlotUse
 from lacewingspar_router.components.quarantine.errors import (
@@ -21,7 +21,7 @@
 )
 from lacewingspar_router.components.quarantine.models import (
     QUARANTINE,
-    Subject,
+    RequestIdentity,
 )
 from lacewingspar_router.components.scheduler.models import (
     SCHEDULER,
@@ -31,8 +31,8 @@
 from lacewingspar_router.components.upstreams.models import UPSTREAMS
 
 
-class SlotWait:
-    """Gets slots for requests and keeps suspects apart.
+class SlotAcquirer:
+    """Acquires slots for requests and isolates suspect requests.
 
     Args:
         application: The application that holds the other components.
@@ -42,23 +42,23 @@
         self._quarantine = application.get(QUARANTINE)
         self._scheduler = application.get(SCHEDULER)
         self._upstreams = application.get(UPSTREAMS)
-        self._limit_by_subject: dict[Subject, asyncio.Timeout] = {}
+        self._limit_by_subject: dict[RequestIdentity, asyncio.Timeout] = {}
         self._quarantine.add_listener(self._end_quarantined_waits)
 
-    def check(self, subject: Subject) -> None:
+    def check(self, subject: RequestIdentity) -> None:
         """Check that a request is not in quarantine.
 
         Raises:
-            RequestRefusedError: It is.
+            RequestRefusedError: The request is in quarantine.
         """
-        seconds = self._quarantine.refused_seconds(subject)
+        seconds = self._quarantine.remaining_quarantine_seconds(subject)
         if seconds > 0:
             raise quarantined(seconds)
 
     async def async_acquire(
         self,
         request: CallerRequest,
-        subject: Subject,
+        subject: RequestIdentity,
         attempts: Attempts,
         deadline_at: float,
     ) -> SlotUse:
@@ -67,7 +67,7 @@
         Raises:
             RequestRefusedError: The request is refused; it was not sent.
         """
-        await self._quarantine.async_wait_confirmed(subject)
+        await self._quarantine.async_wait_for_crash_checks(subject)
         while True:
             self.check(subject)
             grant = await self._async_grant(
@@ -77,7 +77,7 @@
                 continue
             use = SlotUse(self._scheduler, grant)
             try:
-                # The wait may have been long.
+                # The request may have entered the quarantine during the wait.
                 self.check(subject)
                 use.run = await self._quarantine.async_begin(
                     subject, grant.upstream_id
@@ -91,19 +91,19 @@
     async def _async_grant(
         self,
         request: CallerRequest,
-        subject: Subject,
+        subject: RequestIdentity,
         attempts: Attempts,
         deadline_at: float,
     ) -> SlotGrant | None:
-        """Return a slot, or None if the request has to be checked again."""
+        """Wait for a slot; return None if the request must be checked again."""
         excluded = frozenset(attempts.failed_upstreams)
         limit_seconds = None
         if self._quarantine.is_suspect(subject):
             excluded |= await self._async_busy_upstreams(
                 request, subject, excluded, deadline_at
             )
-            # Other upstreams may become free of suspects meanwhile.
-            limit_seconds = SUSPECT_QUEUE_SECONDS
+            # Other upstreams may become free of suspects during the wait.
+            limit_seconds = SUSPECT_RECHECK_SECONDS
         try:
             async with asyncio.timeout(limit_seconds) as limit:
                 self._limit_by_subject[subject] = limit
@@ -118,28 +118,30 @@
     async def _async_busy_upstreams(
         self,
         request: CallerRequest,
-        subject: Subject,
+        subject: RequestIdentity,
         failed: frozenset[str],
         deadline_at: float,
     ) -> frozenset[str]:
-        """Wait until a suspect may run and return what it must not use."""
+        """Wait until a suspect may run and return the excluded upstreams."""
 
         def usable() -> frozenset[str]:
-            return upstreams_with_new_work(request, self._upstreams) - failed
+            return available_upstreams(request, self._upstreams) - failed
 
         try:
-            return await self._quarantine.async_busy_upstreams(
+            return await self._quarantine.async_wait_for_free_upstream(
                 subject, usable, deadline_at
             )
         except NoUpstreamForSuspectError as error:
             raise suspect_deadline_passed() from error
 
     def _end_quarantined_waits(self) -> None:
-        """End the waits of requests that are in quarantine now."""
+        """End the slot waits of requests that are now in quarantine."""
         now = asyncio.get_running_loop().time()
         for subject, limit in self._limit_by_subject.items():
-            is_refused = self._quarantine.refused_seconds(subject) > 0
-            # A limit that has expired can no longer be changed.
+            is_refused = (
+                self._quarantine.remaining_quarantine_seconds(subject) > 0
+            )
+            # An expired timeout cannot be rescheduled.
             if is_refused and not limit.expired():
                 limit.reschedule(now)
 
--- a/packages/router/src/lacewingspar_router/components/peers/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between routers over ZeroMQ, and membership."""
+"""ZeroMQ messages between routers and fleet membership."""
 
 from lacewingspar_core.membership import Membership, Seed
 from lacewingspar_core.messages import MemberRecord, RouterState
@@ -8,11 +8,11 @@
 
 
 async def async_setup(app: Application) -> None:
-    """Set up the peer sockets and start heartbeats."""
+    """Open the peer socket and start sending heartbeats."""
     settings = app.settings
     platform = settings.platform
     own = MemberRecord(
-        life=app.life,
+        life=app.instance,
         data_centre=settings.data_centre,
         address=f"tcp://{settings.peer_address}",
         state=RouterState.STARTING,
@@ -29,5 +29,5 @@
     network.bind()
     app.register(PEERS, network)
     app.create_task(network.async_receive(), "peers receive")
-    app.create_task(network.async_beat(), "peers heartbeat")
+    app.create_task(network.async_send_heartbeats(), "peers heartbeat")
     app.on_unload("peers", network.async_unload)
--- a/packages/router/src/lacewingspar_router/components/quarantine/registry.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/registry.py
@@ -1,4 +1,4 @@
-"""Crash records of all services, and the runs that they are made from."""
+"""Crash records of all services and the runs that they result from."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -8,11 +8,11 @@
 from lacewingspar_core.messages import SuspectRun
 from lacewingspar_router.application import Application
 from lacewingspar_router.components.quarantine.const import (
-    LEFT_RUN_SECONDS,
+    ABANDONED_RUN_SECONDS,
     METRIC_CRASHES,
 )
 from lacewingspar_router.components.quarantine.models import (
-    Subject,
+    RequestIdentity,
     UpstreamRun,
 )
 from lacewingspar_router.components.quarantine.suspects import SuspectRunGate
@@ -27,11 +27,11 @@
 
 
 class CrashRegistry:
-    """Tells which requests are suspects and which are in quarantine.
+    """Decides which requests are suspects and which are quarantined.
 
     Args:
         app: The application that holds the other components.
-        gate: Reservations of upstreams for suspects.
+        gate: Reserves upstreams for suspects.
     """
 
     def __init__(self, app: Application, gate: SuspectRunGate) -> None:
@@ -48,41 +48,46 @@
         self._exchange.add_listener(self._notify)
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function after new crashes have become known."""
+        """Call a function whenever new crashes become known."""
         self._listeners.append(listener)
 
-    def refused_seconds(self, subject: Subject) -> float:
-        """Return how long a request is still refused, or 0."""
-        state = self._exchange.known_state(subject.service)
+    def remaining_quarantine_seconds(self, subject: RequestIdentity) -> float:
+        """Return the remaining quarantine of a request in seconds, or 0."""
+        state = self._exchange.find_state(subject.service)
         if state is None:
             return 0.0
         now = self._app.now()
         return max(0.0, state.refused_until(subject.fingerprint, now) - now)
 
-    def is_suspect(self, subject: Subject) -> bool:
-        """Return whether a request must run apart from other suspects."""
-        state = self._exchange.known_state(subject.service)
+    def is_suspect(self, subject: RequestIdentity) -> bool:
+        """Return whether a request must not run beside other suspects."""
+        state = self._exchange.find_state(subject.service)
         if state is None:
             return False
         return state.must_run_alone(subject.fingerprint, self._app.now())
 
-    async def async_wait_confirmed(self, subject: Subject) -> None:
-        """Wait for checks whether this request has crashed an upstream."""
+    async def async_wait_for_crash_checks(
+        self, subject: RequestIdentity
+    ) -> None:
+        """Wait for the running crash checks that involve a request."""
         checks = [
             check
             for check, runs in self._broken_runs_by_check.items()
-            if any(_is_same(run.subject, subject) for run in runs)
+            if any(_is_same_request(run.subject, subject) for run in runs)
         ]
         if checks:
             await asyncio.wait(checks)
 
-    async def async_busy_upstreams(
+    async def async_wait_for_free_upstream(
         self,
-        subject: Subject,
+        subject: RequestIdentity,
         usable: Callable[[], Collection[str]],
         deadline_at: float,
     ) -> frozenset[str]:
-        """Wait until a suspect may run and return what it must not use.
+        """Wait until an upstream is free of other suspects.
+
+        Returns:
+            Upstreams that run other suspects and must not be used.
 
         Raises:
             NoUpstreamForSuspectError: The deadline has passed.
@@ -92,9 +97,9 @@
         )
 
     async def async_begin(
-        self, subject: Subject, upstream_id: str
+        self, subject: RequestIdentity, upstream_id: str
     ) -> UpstreamRun | None:
-        """Note that a request is about to be sent.
+        """Record that a request is about to be sent to an upstream.
 
         Returns:
             The run, or None if a suspect must not run on this upstream now.
@@ -104,18 +109,18 @@
             reservation = SuspectRun(upstream_id, subject.fingerprint)
             if not await self._gate.async_reserve(subject.service, reservation):
                 return None
-        state = self._exchange.known_state(subject.service)
+        state = self._exchange.find_state(subject.service)
         epoch = state.epoch(upstream_id) if state else 0
         run = UpstreamRun(subject, upstream_id, epoch, reservation)
         key = (subject.service, upstream_id)
         self._runs_by_upstream.setdefault(key, set()).add(run)
         return run
 
-    def on_break(self, run: UpstreamRun) -> "asyncio.Task[None]":
-        """Begin to check whether the upstream of a broken run has crashed.
+    def start_crash_check(self, run: UpstreamRun) -> "asyncio.Task[None]":
+        """Start a check whether the upstream of a broken run has crashed.
 
-        A crash breaks all runs of the upstream, so the first one that breaks
-        starts the check for all.
+        A crash breaks all runs of an upstream, so they share the check that
+        the first broken run starts.
         """
         if run.confirmation is not None:
             return run.confirmation
@@ -132,23 +137,23 @@
         )
         return check
 
-    def end(self, run: UpstreamRun, *, is_left: bool) -> None:
-        """Note the end of a run."""
+    def end(self, run: UpstreamRun, *, has_caller_left: bool) -> None:
+        """Record the end of a run."""
         if run.is_complete:
-            self._clear(run.subject)
-        if is_left and not run.is_complete:
+            self._record_success(run.subject)
+        if has_caller_left and not run.is_complete:
             asyncio.get_running_loop().call_later(
-                LEFT_RUN_SECONDS, self._end_left, run
+                ABANDONED_RUN_SECONDS, self._end_abandoned, run
             )
         else:
             self._discard(run)
 
-    def _end_left(self, run: UpstreamRun) -> None:
-        """End a run that nobody has watched since its caller left."""
+    def _end_abandoned(self, run: UpstreamRun) -> None:
+        """End an abandoned run; check for a crash if its upstream fails."""
         key = (run.subject.service, run.upstream_id)
         status = self._upstreams.status_by_upstream.get(key)
         if status is not None and status.state == _STATE_FAILING:
-            self.on_break(run)
+            self.start_crash_check(run)
         self._discard(run)
 
     def _discard(self, run: UpstreamRun) -> None:
@@ -162,20 +167,21 @@
             self._gate.release(run.subject.service, run.reservation)
             run.reservation = None
 
-    def _clear(self, subject: Subject) -> None:
-        state = self._exchange.known_state(subject.service)
+    def _record_success(self, subject: RequestIdentity) -> None:
+        state = self._exchange.find_state(subject.service)
         if state is not None:
-            state.on_success(subject.fingerprint, self._app.now())
+            state.record_success(subject.fingerprint, self._app.now())
             self._exchange.publish(state)
 
     async def _async_confirm(
         self, key: tuple[str, str], runs: frozenset[UpstreamRun]
     ) -> None:
-        """Record a crash unless the upstream still answers.
+        """Record a crash unless the upstream still responds.
 
-        A broken connection or a cut stream alone says nothing about the other
-        requests of the upstream. Upstreams that are shut down break calls too,
-        and more of them are replaced than crash.
+        A broken connection or stream alone is no sign of a crash: upstreams
+        that shut down break calls too, and more upstreams are replaced than
+        crash. Without a crash, the other requests of the upstream are not
+        suspects.
         """
         service, upstream_id = key
         status = self._upstreams.status_by_upstream.get(key)
@@ -183,8 +189,8 @@
             return
         if await self._upstreams.async_is_up(service, upstream_id):
             return
-        # A partition breaks all calls to a data centre and lets none of its
-        # upstreams answer.
+        # A partition breaks all calls to a data centre and makes all of its
+        # upstreams unreachable, without any crash.
         if not await self._upstreams.async_is_reachable(service, upstream_id):
             return
         suspects = {
@@ -201,7 +207,7 @@
         )
         state = self._exchange.state(service)
         epoch = max(run.epoch for run in runs)
-        state.on_crash(upstream_id, epoch, suspects, self._app.now())
+        state.record_crash(upstream_id, epoch, suspects, self._app.now())
         self._exchange.publish(state)
         self._notify()
 
@@ -210,5 +216,5 @@
             listener()
 
 
-def _is_same(one: Subject, other: Subject) -> bool:
+def _is_same_request(one: RequestIdentity, other: RequestIdentity) -> bool:
     return one.service == other.service and one.fingerprint == other.fingerprint
--- a/tests/core/test_attempt_rules.py
+++ b/tests/core/test_attempt_rules.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt has ended."""
+"""Tests of the retry rules after an attempt."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(
     ("results", "may_run_again", "limit", "expected", "may_have_run"),
     [
-        ([Result.ANSWERED], True, 3, False, True),
+        ([Result.RESPONDED], True, 3, False, True),
         ([Result.NOT_RUN], False, 2, True, False),
         ([Result.NOT_RUN], False, 1, False, False),
         ([Result.WRONG_UPSTREAM], False, 2, True, False),
@@ -21,22 +21,25 @@
         ([Result.BROKEN], True, 2, True, True),
         ([Result.BROKEN] * 2, True, 2, False, True),
         ([Result.INVALID], False, 3, False, True),
-        ([Result.SILENT], True, 2, True, True),
+        ([Result.TIMED_OUT], True, 2, True, True),
         ([Result.UPSTREAM_FAILURE], True, 2, True, True),
         ([Result.UPSTREAM_FAILURE], False, 2, False, True),
         ([Result.BROKEN, Result.NOT_RUN], True, 2, False, True),
     ],
 )
-def test_what_may_be_tried_again(
+def test_whether_another_attempt_is_allowed(
     results: list[AttemptResult],
     may_run_again: bool,
     limit: int,
     expected: bool,
     may_have_run: bool,
 ) -> None:
-    """Guards against second runs and false statements that none took place."""
+    """A request that must not run twice is not retried if it may have run.
+
+    `may_have_run` must not be false if an upstream may have run the request.
+    """
     history = AttemptHistory(may_run_again, limit)
     for number, result in enumerate(results):
-        history.note(result, f"u{number}")
+        history.record(result, f"u{number}")
     assert history.may_try_again(results[-1]) is expected
     assert history.may_have_run is may_have_run
--- a/tests/core/test_hand_over.py
+++ b/tests/core/test_hand_over.py
@@ -1,21 +1,21 @@
-"""Which requests a router hands over, and to which neighbour."""
+"""Tests of the hand-over of requests to neighbour routers."""
 
 import pytest
 
 from lacewingspar_core.hand_over import (
-    IN_TIME_SECONDS,
-    LATE_SECONDS,
-    SKIP_SECONDS,
-    HandOverShare,
+    EXCLUSION_SECONDS,
+    HIGH_DELAY_SECONDS,
+    LOW_DELAY_SECONDS,
+    HandOverController,
     Neighbour,
     NeighbourLoads,
-    helpful_neighbours,
+    eligible_neighbours,
 )
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import MemberRecord, RouterState
 
-LATE = 2 * LATE_SECONDS
-IN_TIME = IN_TIME_SECONDS / 2
+LATE = 2 * HIGH_DELAY_SECONDS
+IN_TIME = LOW_DELAY_SECONDS / 2
 
 
 def record(
@@ -26,7 +26,7 @@
     caller_address: str = "10.0.0.1:80",
 ) -> MemberRecord:
     return MemberRecord(
-        RouterLife(router_id, 1),
+        RouterInstance(router_id, 1),
         data_centre,
         "tcp://10.0.0.1:1",
         state,
@@ -37,33 +37,33 @@
     )
 
 
-def test_router_in_time_hands_nothing_over() -> None:
-    share = HandOverShare()
+def test_router_without_delay_hands_nothing_over() -> None:
+    share = HandOverController()
     for _ in range(50):
-        share.note_delay(IN_TIME)
-    assert not any(share.take_next() for _ in range(100))
+        share.record_loop_delay(IN_TIME)
+    assert not any(share.should_hand_over_next() for _ in range(100))
     assert not share.is_busy
 
 
 def test_late_router_hands_all_over_within_a_second() -> None:
-    share = HandOverShare()
+    share = HandOverController()
     for _ in range(10):
-        share.note_delay(LATE)
-    assert all(share.take_next() for _ in range(100))
+        share.record_loop_delay(LATE)
+    assert all(share.should_hand_over_next() for _ in range(100))
     assert share.is_busy
 
 
-def test_router_in_time_again_takes_its_requests_back_slowly() -> None:
-    """Guards against swings between all and none."""
-    share = HandOverShare()
+def test_share_falls_slowly_after_an_overload() -> None:
+    """Guards against oscillation between handing over all and none."""
+    share = HandOverController()
     for _ in range(10):
-        share.note_delay(LATE)
+        share.record_loop_delay(LATE)
     for _ in range(50):
-        share.note_delay(IN_TIME)
-    assert sum(share.take_next() for _ in range(100)) == 50
+        share.record_loop_delay(IN_TIME)
+    assert sum(share.should_hand_over_next() for _ in range(100)) == 50
     for _ in range(50):
-        share.note_delay(IN_TIME)
-    assert not any(share.take_next() for _ in range(100))
+        share.record_loop_delay(IN_TIME)
+    assert not any(share.should_hand_over_next() for _ in range(100))
 
 
 @pytest.mark.parametrize(
@@ -75,20 +75,20 @@
         ([record("b", RouterState.STARTING)], []),
         ([record("b", data_centre="other")], []),
         ([record("b", caller_address="")], []),
-        # A router that may own pools helps only where there is no other.
+        # A router that may own pools is eligible only if there is no other.
         ([record("b", capacity=2.0), record("c")], ["c"]),
         ([record("b", capacity=2.0)], ["b"]),
     ],
 )
-def test_neighbours_that_help(
+def test_eligible_neighbours(
     others: list[MemberRecord], expected: list[str]
 ) -> None:
     records = {item.life.router_id: item for item in [record("a"), *others]}
-    found = helpful_neighbours("a", "dc", records)
+    found = eligible_neighbours("a", "dc", records)
     assert [item.router_id for item in found] == expected
 
 
-def test_neighbour_with_the_fewest_requests_is_next() -> None:
+def test_least_loaded_neighbour_is_chosen() -> None:
     loads = NeighbourLoads()
     neighbours = [Neighbour(name, "") for name in "abc"]
     chosen = []
@@ -100,20 +100,20 @@
     assert chosen == ["a", "b", "c", "a", "b", "c"]
     loads.end("c")
     assert loads.choose(neighbours, 0.0) == neighbours[2]
-    assert loads.under_way == 5
+    assert loads.in_flight == 5
 
 
-def test_neighbour_that_failed_is_left_out_for_a_while() -> None:
+def test_failed_neighbour_is_excluded_for_a_while() -> None:
     loads = NeighbourLoads()
     neighbours = [Neighbour("a", "")]
-    loads.skip("a", 10.0)
-    assert loads.choose(neighbours, 10.0 + SKIP_SECONDS / 2) is None
-    assert loads.choose(neighbours, 10.0 + SKIP_SECONDS) == neighbours[0]
+    loads.exclude("a", 10.0)
+    assert loads.choose(neighbours, 10.0 + EXCLUSION_SECONDS / 2) is None
+    assert loads.choose(neighbours, 10.0 + EXCLUSION_SECONDS) == neighbours[0]
 
 
 def test_requests_at_neighbours_are_bounded() -> None:
-    """Guards against a router that runs out of descriptors."""
-    loads = NeighbourLoads(most=2)
+    """Guards against a router that runs out of file descriptors."""
+    loads = NeighbourLoads(max_in_flight=2)
     neighbours = [Neighbour("a", ""), Neighbour("b", "")]
     loads.begin("a")
     loads.begin("b")
--- a/tests/router/components/conftest.py
+++ b/tests/router/components/conftest.py
@@ -1,4 +1,4 @@
-"""An in-memory log service behind an HTTP transport, and other fakes."""
+"""In-memory log service and other fakes for component tests."""
 
 import asyncio
 import contextlib
@@ -27,10 +27,13 @@
 
 
 class FakeLog:
-    """Log service with switchable faults, as an httpx handler.
+    """Fake log service with injectable faults, as an httpx handler.
 
-    `append_fault` is the exception or status of the next append, which is
-    written all the same if `is_written`. Appends wait until `gate` is set.
+    Attributes:
+        append_fault: Exception or HTTP status of the next append.
+        is_written: Whether an append with a fault is written nevertheless.
+        is_down: Whether connections are refused.
+        gate: Appends wait until this event is set.
     """
 
     def __init__(self) -> None:
@@ -94,7 +97,7 @@
 
 
 class FakePeers:
-    """Peer network that connects the applications of one test."""
+    """Fake peer network between the applications of one test."""
 
     def __init__(self, app: Application, network: dict[str, Any]) -> None:
         self.app = app
@@ -103,7 +106,7 @@
         self.listeners: list[Callable[[], None]] = []
         self.sent: list[tuple[str, Any]] = []
         self.offset_by_router_id: dict[str, int] = {}
-        network[app.life.router_id] = self
+        network[app.instance.router_id] = self
 
     def set_applied_offset_source(self, read: Callable[[], int]) -> None:
         del read
@@ -112,7 +115,7 @@
     def alive_by_router_id(self) -> dict[str, MemberRecord]:
         return {
             router_id: MemberRecord(
-                peers.app.life,
+                peers.app.instance,
                 peers.app.settings.data_centre,
                 "tcp://127.0.0.1:1",
                 RouterState.SERVING,
@@ -127,7 +130,7 @@
         handler = self.network[router_id].handler_by_type.get(type(message))
         if handler:
             received = ReceivedMessage(
-                self.app.life, self.app.settings.data_centre, message
+                self.app.instance, self.app.settings.data_centre, message
             )
             asyncio.get_running_loop().call_soon(handler, received)
 
@@ -147,7 +150,7 @@
 async def make_app(
     fake_log: FakeLog,
 ) -> AsyncIterator[Callable[..., Application]]:
-    """Return a function that makes an application on the fake log."""
+    """Return a function that creates an application with the fake log."""
     apps: list[Application] = []
     network: dict[str, Any] = {}
 
--- a/tests/router/components/test_peers.py
+++ b/tests/router/components/test_peers.py
@@ -1,4 +1,4 @@
-"""Sockets between routers."""
+"""Tests the sockets between routers."""
 
 import random
 from collections.abc import AsyncIterator
@@ -7,25 +7,25 @@
 
 import pytest
 
-from lacewingspar_core.identity import RouterLife
+from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.membership import Membership, Seed
 from lacewingspar_core.messages import Heartbeat, MemberRecord, RouterState
 from lacewingspar_router.application import LifeCycle
 from lacewingspar_router.components.peers import const
 from lacewingspar_router.components.peers.network import ZmqPeerNetwork
 
-FORGOTTEN_AT = 60.0
+REMOVED_AT = 60.0
 
 
 def _record(name: str, address: str) -> MemberRecord:
-    life = RouterLife(name, 1)
-    return MemberRecord(life, "d", address, RouterState.SERVING, 1, 0)
+    instance = RouterInstance(name, 1)
+    return MemberRecord(instance, "d", address, RouterState.SERVING, 1, 0)
 
 
 @pytest.fixture
 async def app() -> Any:
     app: Any = mock.MagicMock(
-        life=RouterLife("a", 1), life_cycle=LifeCycle.SERVING
+        instance=RouterInstance("a", 1), life_cycle=LifeCycle.SERVING
     )
     app.settings.data_centre = "d"
     app.settings.address_map = {}
@@ -49,10 +49,10 @@
     await network.async_unload()
 
 
-async def test_sockets_of_forgotten_routers_are_closed(
+async def test_sockets_of_removed_routers_are_closed(
     app: Any, membership: Membership, network: ZmqPeerNetwork
 ) -> None:
-    """Guards against a socket for each router that was ever replaced."""
+    """Guards against sockets that leak when routers are replaced."""
     sockets: list[int] = []
 
     def gauge(name: str, value: int, **_: str) -> None:
@@ -62,7 +62,7 @@
     app.get.return_value.gauge = gauge
     other = _record("b", "tcp://127.0.0.1:3")
     membership.merge(Heartbeat((other,)), 0.0)
-    for now in (0.0, FORGOTTEN_AT):
+    for now in (0.0, REMOVED_AT):
         app.now.return_value = now
-        network.beat()
+        network.send_heartbeat()
     assert sockets == [2, 1]
--- a/tests/router/components/test_quarantine.py
+++ b/tests/router/components/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Crash records and runs of suspects at several routers."""
+"""Tests crash records and runs of suspects at several routers."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 )
 from lacewingspar_router.components.upstreams.models import UPSTREAMS
 
-FAR = float("inf")
+NO_DEADLINE = float("inf")
 
 
 class FakePool:
     def __init__(self) -> None:
         self.up: set[str] = set()
-        self.cut_off: set[str] = set()
+        self.unreachable: set[str] = set()
         healthy = SimpleNamespace(state="healthy")
         self.status_by_upstream = {("s", f"u{n}"): healthy for n in range(4)}
 
@@ -32,11 +32,11 @@
 
     async def async_is_reachable(self, service: str, upstream_id: str) -> bool:
         del service
-        return upstream_id not in self.cut_off
+        return upstream_id not in self.unreachable
 
 
-def subject(name: str) -> models.Subject:
-    return models.Subject("s", "/p", name.encode())
+def subject(name: str) -> models.RequestIdentity:
+    return models.RequestIdentity("s", "/p", name.encode())
 
 
 @pytest.fixture
@@ -56,38 +56,46 @@
 
 
 async def crash(router: Any, upstream_id: str, *names: str) -> None:
-    """Let an upstream crash under some requests."""
+    """Crash an upstream that runs the named requests."""
     runs = [
         await router.crashes.async_begin(subject(name), upstream_id)
         for name in names
     ]
-    await router.crashes.on_break(runs[0])
+    await router.crashes.start_crash_check(runs[0])
     for run in runs:
-        router.crashes.end(run, is_left=False)
+        router.crashes.end(run, has_caller_left=False)
 
 
 async def test_quarantine_reaches_all_routers(start, until) -> None:
-    """Guards against a request that is refused at one router only."""
+    """Guards against a quarantine that only one router applies."""
     first, second = await start("r1"), await start("r2")
     await crash(first, "u1", "x", "a")
     await until(lambda: second.crashes.is_suspect(subject("x")))
     assert not second.crashes.is_suspect(subject("other"))
     run = await second.crashes.async_begin(subject("a"), "u2")
     run.is_complete = True
-    second.crashes.end(run, is_left=False)
+    second.crashes.end(run, has_caller_left=False)
     await until(lambda: not first.crashes.is_suspect(subject("a")))
     await crash(second, "u2", "x", "b")
-    await until(lambda: first.crashes.refused_seconds(subject("x")))
+    await until(
+        lambda: first.crashes.remaining_quarantine_seconds(subject("x"))
+    )
     for router in (first, second):
-        assert 590 < router.crashes.refused_seconds(subject("x")) <= 600
-        assert not router.crashes.refused_seconds(subject("a"))
+        assert (
+            590
+            < router.crashes.remaining_quarantine_seconds(subject("x"))
+            <= 600
+        )
+        assert not router.crashes.remaining_quarantine_seconds(subject("a"))
+
 
+async def test_breaks_without_a_crash_make_no_suspects(start) -> None:
+    """Guards against suspects without a crash.
 
-async def test_what_is_no_crash(start) -> None:
-    """Guards against suspects from a cut, a partition or a planned shutdown."""
+    Connections also break on aborts, partitions and planned shutdowns."""
     router = await start("r1")
     router.pool.up.add("u1")
-    router.pool.cut_off.add("u3")
+    router.pool.unreachable.add("u3")
     leaving = SimpleNamespace(state="leaving")
     router.pool.status_by_upstream["s", "u2"] = leaving
     for upstream_id in ("u1", "u2", "u3", "removed"):
@@ -107,7 +115,9 @@
 
 
 async def test_suspects_of_two_routers_run_apart(start, until) -> None:
-    """Guards against suspects that are found guilty together."""
+    """Guards against suspects that share an upstream.
+
+    A crash would count against both."""
     first, second = await start("r1"), await start("r2")
     await crash(first, "u1", "x", "a")
     await until(lambda: second.crashes.is_suspect(subject("a")))
@@ -116,24 +126,26 @@
         second.crashes.async_begin(subject("a"), "u2"),
     )
     assert [run is not None for run in begun] == [True, False]
-    wait = second.crashes.async_busy_upstreams
-    assert await wait(subject("a"), lambda: {"u2", "u3"}, FAR) == {"u2"}
+    wait = second.crashes.async_wait_for_free_upstream
+    assert await wait(subject("a"), lambda: {"u2", "u3"}, NO_DEADLINE) == {"u2"}
     with pytest.raises(NoUpstreamForSuspectError):
         await wait(subject("a"), lambda: {"u2"}, 0.0)
-    waiting = asyncio.create_task(wait(subject("a"), lambda: {"u2"}, FAR))
+    waiting = asyncio.create_task(
+        wait(subject("a"), lambda: {"u2"}, NO_DEADLINE)
+    )
     await asyncio.sleep(0)
-    first.crashes.end(begun[0], is_left=False)
+    first.crashes.end(begun[0], has_caller_left=False)
     assert await waiting == frozenset()
 
 
 async def test_request_whose_caller_left_stays_a_suspect(
     start, until, monkeypatch
 ) -> None:
-    """Guards against callers that hide a crash by leaving before it."""
-    monkeypatch.setattr(registry, "LEFT_RUN_SECONDS", 0.01)
+    """Guards against a crash that is missed because its caller left."""
+    monkeypatch.setattr(registry, "ABANDONED_RUN_SECONDS", 0.01)
     router = await start("r1")
     run = await router.crashes.async_begin(subject("x"), "u1")
-    router.crashes.end(run, is_left=True)
+    router.crashes.end(run, has_caller_left=True)
     status = SimpleNamespace(state="failing")
     router.pool.status_by_upstream["s", "u1"] = status
     await until(lambda: router.crashes.is_suspect(subject("x")))
