--- a/tests/router/components/caller_api/test_response_body.py
+++ b/tests/router/components/caller_api/test_response_body.py
@@ -18,7 +18,7 @@
         ([b""], [b""], b""),
     ],
 )
-def test_only_whole_events_pass(
+def test_only_complete_events_are_released(
     parts: list[bytes], passed: list[bytes], held: bytes
 ) -> None:
     """An error event must not follow an incomplete event."""
--- a/tests/router/components/test_claims.py
+++ b/tests/router/components/test_claims.py
@@ -19,7 +19,7 @@
 from lacewingspar_core.platform import STREAM_CLAIMS
 from lacewingspar_router.components.claims import async_setup, models, registry
 
-ANSWER = models.ClaimAnswered(200, "text/plain", b"ok")
+RESPONSE = models.ClaimAnswered(200, "text/plain", b"ok")
 
 
 @pytest.fixture(autouse=True)
@@ -69,7 +69,7 @@
     assert not claims.may_send(granted)
 
 
-async def test_other_attempts_get_the_first_answer(start, until) -> None:
+async def test_other_attempts_get_the_first_response(start, until) -> None:
     first, second = await start("r1"), await start("r2")
     granted = await claim(first)
     assert first.may_send(granted)
@@ -77,13 +77,13 @@
     await until(lambda: len(second._state) == 1)
     assert await claim(second) == models.ClaimInProgress()
     assert await claim(second, digest=b"other") == models.ClaimKeyReused()
-    first.record_outcome(granted, ANSWER)
+    first.record_outcome(granted, RESPONSE)
     await until(lambda: second._state.entry_by_offset(0).outcome)
-    assert await claim(first) == ANSWER
-    assert await claim(second) == ANSWER
+    assert await claim(first) == RESPONSE
+    assert await claim(second) == RESPONSE
 
 
-async def test_large_answer_is_recorded_as_run(start, until) -> None:
+async def test_large_response_is_recorded_without_body(start, until) -> None:
     claims = await start()
     granted = await claim(claims)
     large = models.ClaimAnswered(200, "text/plain", b"x" * 9000)
@@ -112,19 +112,19 @@
     assert isinstance(await claim(second), models.ClaimGranted)
 
 
-async def test_claim_of_a_gone_router_is_unknown(start, fake_log) -> None:
+async def test_claim_of_a_dead_router_is_unknown(start, fake_log) -> None:
     """Guards against a second run after a router crash.
 
     The claim may belong to another router or to an earlier instance of the same
     router.
     """
-    lives = [RouterInstance("gone", 1), RouterInstance("r1", 1)]
-    for instance in lives:
+    instances = [RouterInstance("gone", 1), RouterInstance("r1", 1)]
+    for instance in instances:
         key = claim_key("s", "w", instance.router_id)
         record = encode_record(Claim(key, b"d", instance, 1))
         fake_log.append(STREAM_CLAIMS, record)
     claims = await start("r1")
-    for instance in lives:
+    for instance in instances:
         assert await claim(claims, instance.router_id) == models.ClaimUnknown()
 
 
@@ -164,7 +164,7 @@
     """Guards against granting a new key while the log is unavailable."""
     claims = await start()
     granted = await claim(claims, "known")
-    claims.record_outcome(granted, ANSWER)
+    claims.record_outcome(granted, RESPONSE)
     await until(lambda: claims._state.entry_by_offset(0).outcome)
     fake_log.append_fault = 503
     assert await claim(claims) == models.ClaimUnavailable()
@@ -172,7 +172,7 @@
     fake_log.append(STREAM_CLAIMS, b"")
     await until(lambda: not claims._is_current)
     assert await claim(claims) == models.ClaimUnavailable()
-    assert await claim(claims, "known") == ANSWER
+    assert await claim(claims, "known") == RESPONSE
     fake_log.is_down = False
     await until(lambda: claims._is_current)
     assert isinstance(await claim(claims), models.ClaimGranted)
@@ -191,7 +191,7 @@
     claims = await start()
     granted = await claim(claims)
     fake_log.append_fault = httpx.ReadTimeout("lost")
-    claims.record_outcome(granted, ANSWER)
+    claims.record_outcome(granted, RESPONSE)
     await until(lambda: claims._state.entry_by_offset(0).outcome)
 
 
--- a/tests/router/components/test_configuration.py
+++ b/tests/router/components/test_configuration.py
@@ -59,7 +59,7 @@
     return app.get(CONFIGURATION)
 
 
-async def test_publish_is_in_force_and_idempotent(make_app, until) -> None:
+async def test_publish_is_applied_and_idempotent(make_app, until) -> None:
     app = make_app()
     configuration = await started(app)
     await until(lambda: configuration.is_ready)
@@ -147,7 +147,7 @@
     assert second.version_by_service == {"chat": 1}
 
 
-async def test_records_are_passed_on_to_a_peer_behind(make_app, until) -> None:
+async def test_records_are_sent_to_a_lagging_peer(make_app, until) -> None:
     """Guards against a router that keeps an outdated configuration."""
     first, second = make_app("r1"), make_app("r2")
     configuration = await started(first)
@@ -172,7 +172,7 @@
         ({"behind": "own"}, True, {"behind"}),
     ],
 )
-async def test_data_centre_with_a_current_router_helps_itself(
+async def test_up_to_date_data_centre_gets_no_records_from_others(
     make_app,
     until,
     data_centre_by_id: dict[str, str],
--- a/tests/router/components/test_ingress_queue.py
+++ b/tests/router/components/test_ingress_queue.py
@@ -106,7 +106,7 @@
     return Offer("plain", SlotId(owner, number), "u1", "w1", "", False)
 
 
-async def test_offer_is_bound_late() -> None:
+async def test_offer_is_accepted_for_a_waiting_request() -> None:
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
@@ -172,7 +172,7 @@
     assert len(harness.messages(SlotReleased)) == 1
 
 
-async def test_demand_is_told_again_after_a_declined_offer() -> None:
+async def test_demand_is_sent_again_after_a_declined_offer() -> None:
     """The owner assumes no demand after a declined offer."""
     harness = Harness(0.0)
     task = harness.acquire(1)
@@ -211,7 +211,7 @@
     assert bool(harness.messages(Demand)) is is_sent
 
 
-async def test_removed_service_refuses_what_waits() -> None:
+async def test_removed_service_refuses_waiting_requests() -> None:
     harness = Harness(0.0)
     task = harness.acquire(1)
     await asyncio.sleep(0)
--- a/tests/router/test_call_claims.py
+++ b/tests/router/test_call_claims.py
@@ -58,7 +58,7 @@
         assert router.scheduler.requests == []
 
 
-async def test_first_answer_is_replayed() -> None:
+async def test_first_response_is_replayed() -> None:
     async with routed(GOOD) as router:
         router.claims.decision = ClaimAnswered(201, "text/y", b"first")
         response = await pay(router)
@@ -151,7 +151,7 @@
         assert router.scheduler.requests == []
 
 
-async def test_sent_call_runs_on_when_the_caller_leaves() -> None:
+async def test_sent_call_continues_after_a_disconnect() -> None:
     """Guards against losing the outcome when the caller disconnects."""
     hold, called = asyncio.Event(), asyncio.Event()
     upstream = answering(b"good", hold=hold, called=called)
--- a/tests/router/test_streams.py
+++ b/tests/router/test_streams.py
@@ -43,7 +43,7 @@
     return received, True
 
 
-async def test_answer_keeps_status_headers_and_identity() -> None:
+async def test_response_keeps_status_headers_and_request_id() -> None:
     """Guards against a proxy that drops or adds parts of a response."""
     calls: list[Any] = []
     headers = {"x-a": "1", "set-cookie": "a=b", "connection": "x-b", "x-b": "2"}
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("headers", [{}, {"content-length": "9"}])
-async def test_broken_whole_answer_breaks_the_transfer(
+async def test_truncated_response_breaks_the_transfer(
     headers: dict[str, str],
 ) -> None:
     """Guards against a truncated body that looks complete."""
@@ -151,7 +151,7 @@
         assert response.json()["error"]["code"] == "upstream_broken"
 
 
-async def test_caller_who_leaves_frees_the_slot() -> None:
+async def test_disconnect_releases_the_slot() -> None:
     """Guards against a slot that is used for a disconnected caller."""
     hold, called = asyncio.Event(), asyncio.Event()
     async with routed(events(FIRST, hold=hold, called=called)) as router:
@@ -166,7 +166,7 @@
 
 @pytest.mark.parametrize("method", ["HEAD", "GET"])
 @pytest.mark.parametrize("status", [200, 204, 304])
-async def test_answers_without_a_body(method: str, status: int) -> None:
+async def test_responses_without_a_body(method: str, status: int) -> None:
     """Guards against waiting for a body that does not exist."""
     upstream = answering(status=status)
     async with routed(upstream) as router:
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize("size", range(1, 8))
-def test_gate_passes_whole_events_only(size: int) -> None:
+def test_buffer_releases_complete_events_only(size: int) -> None:
     """An error event must not follow an incomplete event."""
     data = b"data: a\n\ndata: b\r\n\r\ndata: c\n\ndata: d"
     buffer, passed = CompleteEventBuffer(), b""
