--- a/packages/standins/src/lacewingspar_standins/bench/balancer.py
+++ b/packages/standins/src/lacewingspar_standins/bench/balancer.py
@@ -1,4 +1,4 @@
-"""Baseline: a plain balancer without any fairness or order of its own."""
+"""Baseline load balancer without fair queueing."""
 
 from typing import Any
 
@@ -6,11 +6,11 @@
 
 
 class LeastLoadedBalancer:
-    """Passes each request on at once to the least loaded target.
+    """Forwards each request to the target with the fewest in flight.
 
-    It counts only its own requests, as a balancer without shared state does.
-    What exceeds a target's slots waits at the target, first come first
-    served.
+    It counts only the requests that it forwards itself, because it shares no
+    state with other balancers. Requests beyond a target's slots queue at the
+    target in FIFO order.
 
     Args:
         targets_by_prefix: Base URLs of the targets by path prefix.
@@ -28,7 +28,7 @@
         }
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Pass a request on and its answer back."""
+        """Forward a request and its response."""
         if scope["type"] != "http":
             return
         proxies = self._proxies(scope["path"])
--- a/packages/standins/src/lacewingspar_standins/bench/bare_proxy.py
+++ b/packages/standins/src/lacewingspar_standins/bench/bare_proxy.py
@@ -1,4 +1,4 @@
-"""Proxy that only passes requests on, made of the router's libraries."""
+"""Minimal reverse proxy built on the router's libraries."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 class BareProxy:
-    """Passes each request on to one address.
+    """Forwards every request to one target.
 
     Args:
         target: Base URL.
@@ -29,7 +29,7 @@
         )
 
     async def handle(self, scope: Any, receive: Receive, send: Send) -> None:
-        """Pass a request on and its answer back."""
+        """Forward a request and its response."""
         body = b""
         while True:
             message = await receive()
--- a/packages/standins/src/lacewingspar_standins/bench/capacity.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Benchmark `capacity`: slopes of a router's cost against the fleet's size."""
+"""Benchmark `capacity`: how a router's cost grows with the fleet."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Factor:
-    """Something that grows with the fleet.
+    """A quantity that grows with the fleet.
 
     Attributes:
-        unit: What is counted.
-        sizes: Sizes that are measured by default.
-        target: Size at the target, where the line is read.
-        core: Measure of the core objects, if that is enough.
-        router: Measure of a router process otherwise.
+        unit: Unit of the size.
+        sizes: Sizes to measure by default.
+        target: Target size, at which the fitted line is evaluated.
+        core: Measures the core objects in this process, or None.
+        router: Measures a router process, or None.
     """
 
     unit: str
@@ -113,7 +113,7 @@
 
 
 class CapacityResult(msgspec.Struct, frozen=True):
-    """Points and lines of one factor."""
+    """Measured points and fitted lines of one factor."""
 
     factor: str
     points: tuple[Point, ...]
--- a/packages/standins/src/lacewingspar_standins/bench/capacity_core.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity_core.py
@@ -1,4 +1,4 @@
-"""Slopes of the core objects, measured without processes."""
+"""Cost of the core objects, measured in one process."""
 
 import time
 import tracemalloc
@@ -73,7 +73,7 @@
 
 
 def measure_gossip(routers: int, seed: int) -> dict[str, float]:
-    """Return the cost of heartbeats against the number of routers."""
+    """Return the cost of heartbeats for a number of routers."""
     seconds = _GOSSIP_SECONDS
     fleet = GossipFleet(routers, DATA_CENTRES, seed)
     fleet.run(seconds)
@@ -91,7 +91,7 @@
 
 
 def measure_backlog(workspaces: int, _seed: int) -> dict[str, float]:
-    """Return the cost of an owner against the backlogged workspaces."""
+    """Return the cost of an owner for a number of backlogged workspaces."""
     owner = SlotOwner(SERVICE, _LIFE, "dc-1")
     owner.handle(_owned_upstreams(workspaces), 0.0)
     now = 1.0
@@ -136,7 +136,7 @@
 
 
 def measure_holders(holders: int, _seed: int) -> dict[str, float]:
-    """Return the cost of an owner against holders with full queues."""
+    """Return the cost of an owner for ingress routers with full queues."""
     owner = SlotOwner(SERVICE, _LIFE, "dc-1")
     owner.handle(_owned_upstreams(_SERVICE_BACKLOGGED), 0.0)
     entries = tuple(
@@ -167,7 +167,7 @@
 
 
 def measure_ownership(routers: int, _seed: int) -> dict[str, float]:
-    """Return the time to assign one service against the routers."""
+    """Return the time to assign one service to a number of routers."""
     data_centre_by_upstream = {
         f"engine-{index:04}": f"dc-{index % DATA_CENTRES + 1}"
         for index in range(SERVICE_UPSTREAMS)
@@ -187,7 +187,7 @@
 
 
 def measure_document(workspaces: int, _seed: int) -> dict[str, float]:
-    """Return the cost of one service against its workspaces."""
+    """Return the cost of one service for a number of workspaces."""
     document = service_document(workspaces, SERVICE_UPSTREAMS)
     first = Edit("e-0", SERVICE, 0, dump_document(document), "bench")
     patch = {"limits": {"attempts": 2}}
@@ -212,7 +212,7 @@
 
 
 def measure_claims(claims: int, _seed: int) -> dict[str, float]:
-    """Return the cost of the claim stream against claims in the window."""
+    """Return the cost of the claim stream for claims in the window."""
     body = b"x" * _OUTCOME_BYTES
     records: list[bytes] = []
     for index in range(claims):
@@ -247,7 +247,7 @@
 
 
 def service_document(workspaces: int, upstreams: int) -> ServiceDocument:
-    """Return a document of the given size."""
+    """Return a service document of the given size."""
     return ServiceDocument(
         service=SERVICE,
         kind=ServiceKind.MODEL,
--- a/packages/standins/src/lacewingspar_standins/bench/capacity_fit.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity_fit.py
@@ -1,4 +1,4 @@
-"""Slopes of measured figures."""
+"""Least-squares fits of measured figures."""
 
 import statistics
 from collections.abc import Mapping, Sequence
@@ -10,7 +10,7 @@
     """Figures at one size.
 
     Attributes:
-        size: What was varied, such as the number of routers.
+        size: Value of the varied factor, such as the number of routers.
         figures: Measured figures by name with unit.
     """
 
@@ -23,9 +23,9 @@
 
     Attributes:
         base: Value at size 0.
-        slope: Growth for each unit of size.
-        largest_error: Largest distance of a point from the line, as a part
-            of the largest value.
+        slope: Increase per unit of size.
+        largest_error: Largest distance of a point from the line, as a
+            fraction of the largest value.
     """
 
     base: float
--- a/packages/standins/src/lacewingspar_standins/bench/capacity_routers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity_routers.py
@@ -1,4 +1,4 @@
-"""Slopes of one real router process."""
+"""Cost of one real router process."""
 
 import asyncio
 import time
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class _Rig:
-    """One router with the stand-ins that it needs."""
+    """A router and the stand-ins that it depends on."""
 
     fleet: Fleet
     log: StandInProcess
@@ -70,7 +70,7 @@
     def plan_peers(
         self, routers: int, data_centres: int
     ) -> tuple[RouterPlan, ...]:
-        """Reserve the ports of all routers but the real one."""
+        """Reserve the ports of the synthetic peers."""
         return tuple(
             self.fleet.plan_router(
                 f"router-{index:03}", f"dc-{index % data_centres + 1}"
@@ -81,7 +81,7 @@
     async def start_peers(
         self, peers: tuple[RouterPlan, ...], seed: int
     ) -> None:
-        """Start the process that plays the other routers."""
+        """Start the process that simulates the other routers."""
         options = SyntheticPeersOptions(
             target=_synthetic(self.plan),
             peers=tuple(_synthetic(peer) for peer in peers),
@@ -94,7 +94,7 @@
         )
 
     async def figures(self, seconds: float) -> dict[str, float]:
-        """Return traffic, processor time and memory over a time."""
+        """Measure traffic, processor time and memory for some seconds."""
         await asyncio.sleep(SETTLE_SECONDS)
         before = await self._read()
         await asyncio.sleep(seconds)
@@ -129,7 +129,7 @@
 async def async_measure_peers(
     routers: int, seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the cost of a router against the routers of the fleet."""
+    """Return the cost of a router for a number of peers."""
     async with _rig() as rig:
         peers = rig.plan_peers(routers, DATA_CENTRES)
         await rig.start(peers[:SEEDS])
@@ -140,7 +140,7 @@
 async def async_measure_upstreams(
     upstreams: int, _seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the cost of a router against its data centre's upstreams."""
+    """Return the cost of a router for a number of local upstreams."""
     async with _rig() as rig:
         standin = await rig.fleet.start_standin("plain", name="plain", slots=64)
         document = _document(upstreams)
@@ -152,7 +152,7 @@
 async def async_measure_shared_upstreams(
     upstreams: int, seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the same for a router that shares them with others."""
+    """Return the cost of a router that shares its upstreams with peers."""
     async with _rig() as rig:
         standin = await rig.fleet.start_standin("plain", name="plain", slots=64)
         document = _document(upstreams)
@@ -166,7 +166,7 @@
 async def async_measure_vms(
     vms: int, _seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the cost of a router against the VMs in the list."""
+    """Return the cost of a router for a number of VMs in the list."""
     vm_list = VmList(
         tuple(
             Vm(f"vm-{index:05}", f"dc-{index % DATA_CENTRES + 1}", VmState.LIVE)
@@ -182,7 +182,7 @@
 async def async_measure_requests(
     rate: int, seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the cost of a router against its requests a second."""
+    """Return the cost of a router for a request rate."""
     async with _rig() as rig:
         standin = await rig.fleet.start_standin("plain", name="plain", slots=64)
         document = _document(1)
@@ -213,10 +213,10 @@
 
 
 def _read_http_bytes(pid: int) -> float:
-    """Return the bytes that a router has read from TCP connections.
+    """Return the bytes that a router has read from HTTP connections.
 
-    The event loop reads them with `read`, which the kernel counts; ZeroMQ uses
-    `recv`, which it does not count.
+    The event loop calls `read`, which the kernel counts in /proc. ZeroMQ calls
+    `recv`, which is not counted there.
     """
     text = Path(f"/proc/{pid}/io").read_text(encoding="ascii")
     return float(text.split("rchar:")[1].split()[0])
@@ -229,7 +229,7 @@
 def _address_map(
     document: ServiceDocument, standin: StandInProcess
 ) -> dict[str, str]:
-    """Let one stand-in serve all upstreams, whose addresses must differ."""
+    """Map the distinct address of each upstream to one stand-in."""
     return {
         upstream.address.removeprefix("http://"): standin.address
         for upstream in document.upstreams
--- a/packages/standins/src/lacewingspar_standins/bench/deployment.py
+++ b/packages/standins/src/lacewingspar_standins/bench/deployment.py
@@ -1,4 +1,4 @@
-"""The two deployments of the users, run on one machine."""
+"""The two reference deployments, run on one machine."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -87,12 +87,13 @@
         plains: Plain service runners by upstream id.
         plans: Routers in the order of their names.
         routers: Router processes by router id.
-        links: Links by data centre of the caller and of the target; the
-            target of the platform's link is "platform".
+        links: Links by data centre of the caller and of the target; links
+            to the platform have the target "platform".
         documents: Published documents by service.
-        records_events: Whether routers record traces in the fleet's folder.
-        balancers: Baseline balancers by data centre, in place of routers.
-        step_ms: Time of an engine's step.
+        records_events: Whether routers write traces to the fleet's folder.
+        balancers: Baseline balancers by data centre, if used instead of
+            routers.
+        step_ms: Duration of an engine's step.
         upstream_addresses: Reserved addresses by upstream id.
     """
 
@@ -117,7 +118,7 @@
         return {**self.engines, **self.plains}
 
     def caller_addresses(self, *data_centres: str) -> tuple[str, ...]:
-        """Return the caller addresses of routers, of all without arguments."""
+        """Return the caller addresses of routers, by default of all."""
         entries = [
             (plan.data_centre, plan.caller_address) for plan in self.plans
         ]
@@ -133,7 +134,7 @@
         )
 
     async def start_router(self, plan: RouterPlan) -> RouterProcess:
-        """Start a router, or start it again."""
+        """Start or restart a router."""
         router = await self.fleet.start_router(
             plan,
             log_url=self.log.url,
@@ -146,7 +147,7 @@
         return router
 
     async def start_upstream(self, name: str) -> StandInProcess:
-        """Start an upstream, or start it again with the runs it counted."""
+        """Start an upstream, or restart it with its previous run counts."""
         address = self.upstream_addresses.get(name)
         if address is None:
             address = self.fleet.reserve_address()
@@ -173,13 +174,13 @@
         return standin
 
     async def cut_data_centre(self, data_centre: str, *, cut: bool) -> None:
-        """Cut a data centre off from all others, or join it again."""
+        """Disconnect a data centre from all others, or reconnect it."""
         for (source, target), link in self.links.items():
             if target != "platform" and data_centre in (source, target):
                 await link.inject(cut=cut)
 
     async def cut_platform(self, data_centre: str, *, cut: bool) -> None:
-        """Cut a data centre off from the platform, or join it again."""
+        """Disconnect a data centre from the platform, or reconnect it."""
         await self.links[(data_centre, "platform")].inject(cut=cut)
 
     def _record_setting(self, plan: RouterPlan) -> dict[str, str]:
@@ -214,11 +215,11 @@
     Args:
         shape: Size and layout.
         workspaces: Workspaces of both services.
-        step_ms: Time of an engine's step.
+        step_ms: Duration of an engine's step.
         limits: Limits of both services.
         log_options: Options of the log service stand-in.
         folder: Folder that keeps settings and logs, or None.
-        records_events: Whether the routers also record traces there.
+        records_events: Whether the routers also write traces there.
     """
     async with Fleet(folder) as fleet:
         log = await fleet.start_standin("log", name="log", **log_options or {})
@@ -247,11 +248,11 @@
 async def balanced(
     shape: Shape, *, step_ms: float
 ) -> AsyncIterator[Deployment]:
-    """Run a deployment with plain balancers in place of routers.
+    """Run a deployment with baseline balancers instead of routers.
 
     Args:
         shape: Size and layout.
-        step_ms: Time of an engine's step.
+        step_ms: Duration of an engine's step.
     """
     async with Fleet() as fleet:
         log = await fleet.start_standin("log", name="log")
@@ -346,7 +347,7 @@
 
 
 def data_centre_of(name: str) -> str:
-    """Return the data centre in a name such as `engine-dc-1-0`."""
+    """Extract the data centre from a name such as `engine-dc-1-0`."""
     _, prefix, number, _ = name.split("-")
     return f"{prefix}-{number}"
 
--- a/packages/standins/src/lacewingspar_standins/bench/fairness.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fairness.py
@@ -1,4 +1,4 @@
-"""Fairness gap and utilisation from samples of the upstreams' accounts."""
+"""Fairness gap and utilisation from samples of slot time."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Slot time received so far.
+    """Cumulative slot time at one moment.
 
     Attributes:
         at_seconds: Time since the start of the measurement.
@@ -20,15 +20,15 @@
 
 
 class FairnessFigures(msgspec.Struct, frozen=True):
-    """Figures of one service.
+    """Fairness and utilisation of one service.
 
     Attributes:
-        largest_gap: Largest difference in service by weight between two
+        largest_gap: Largest difference in weighted service between two
             backlogged workspaces since the start, in slot-seconds.
         gap_p99: 99th percentile of the gap over the samples.
-        last_gap: Gap at the end.
-        fair_share: Mean service by weight of the backlogged workspaces.
-        utilisation: Share of the slot time that was used.
+        last_gap: Gap in the last sample.
+        fair_share: Mean weighted service of the backlogged workspaces.
+        utilisation: Fraction of the available slot time that was used.
         gap_by_second: Gap at each sample, by time.
         served_by_workspace: Service by workspace at the end.
     """
@@ -47,12 +47,12 @@
     weight_by_workspace: Mapping[str, float],
     slots: int,
 ) -> FairnessFigures:
-    """Return the figures of a service.
+    """Compute the figures of a service.
 
     Args:
-        samples: Samples in order of time; the first is the start.
+        samples: Samples in order of time; the first is the baseline.
         weight_by_workspace: Weights of the workspaces that were backlogged
-            all the time.
+            throughout.
         slots: Number of slots of the service.
     """
     first, last = samples[0], samples[-1]
--- a/packages/standins/src/lacewingspar_standins/bench/fault_actions.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_actions.py
@@ -1,4 +1,4 @@
-"""Applies planned faults to a deployment and heals them."""
+"""Injects planned faults into a deployment and reverts them."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 LOG_SLOW_MS = 400.0
 LOST_REPLIES_PERIOD_SECONDS = 0.3
 EDITS_PERIOD_SECONDS = 1.0
-# Longer than any request of the load may take, retries included.
+# Exceeds the longest request of the load, including retries.
 SHUTDOWN_LIMIT_SECONDS = 90.0
 LOG_LINE_OF_CUT = "request cut by shutdown"
 POLL_SECONDS = 0.05
@@ -46,13 +46,13 @@
 
 @dataclass(slots=True)
 class Observed:
-    """What the faults themselves have shown.
+    """Violations and shutdowns seen while injecting faults.
 
     Attributes:
-        cut_requests: Requests that a graceful shutdown cut, or shutdowns that
-            failed.
-        late_work: Work sent to upstreams that were leaving for too long.
-        both_accepted: Conflicting edits that were both accepted.
+        cut_requests: Requests aborted by a graceful shutdown, and failed
+            shutdowns.
+        late_work: Requests sent to a leaving upstream after the time limit.
+        both_accepted: Pairs of conflicting edits that were both accepted.
         edits: All edits.
         shutdowns: Graceful shutdowns.
     """
@@ -65,7 +65,7 @@
 
 
 class FaultActions:
-    """Applies faults.
+    """Injects faults and records what they reveal.
 
     Args:
         deployment: The deployment.
@@ -96,7 +96,7 @@
         }
 
     async def async_apply(self, fault: PlannedFault) -> None:
-        """Apply a fault for its time and heal it."""
+        """Inject a fault for its duration, then revert it."""
         await self._action_by_kind[fault.kind](fault)
 
     async def async_list_vms(self) -> None:
@@ -166,7 +166,7 @@
             await self._deployment.cut_platform(fault.target, cut=False)
 
     async def _links_silent(self, fault: PlannedFault) -> None:
-        """Silence the connections of a data centre; they never recover."""
+        """Silently drop the traffic of a data centre's open connections."""
         for names, link in self._deployment.links.items():
             if fault.target in names:
                 await link.inject(silent=True)
@@ -223,7 +223,7 @@
             )
 
     async def _async_wait_listed(self, name: str) -> None:
-        """Wait until readers of the VM list see that a VM leaves."""
+        """Wait until the VM list shows that a VM is leaving."""
         while True:
             answer = await self._deployment.vms.get("/vms")
             vms = msgspec.convert(answer, VmList).vms
--- a/packages/standins/src/lacewingspar_standins/bench/fault_checks.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_checks.py
@@ -1,4 +1,4 @@
-"""Verdict of the benchmark `faults`."""
+"""Checks of the benchmark `faults`."""
 
 import asyncio
 from collections import Counter
@@ -10,14 +10,13 @@
 from lacewingspar_standins.bench.fault_actions import GracefulShutdown
 from lacewingspar_standins.load_result import LoadResult
 
-# The load generator may notice the end of a connection after that of the
-# process.
+# The load generator may see a closed connection after the process has ended.
 CLIENT_LAG_SECONDS = 0.2
 
 
 @dataclass(slots=True)
 class UpstreamRuns:
-    """Runs that all upstreams have counted.
+    """Run counts summed over all upstreams.
 
     Attributes:
         by_key: Runs by `workspace/key`.
@@ -41,7 +40,7 @@
 
 
 async def async_read_runs(deployment: Deployment) -> UpstreamRuns:
-    """Return the runs of all upstreams, those before a restart included."""
+    """Read the run counts of all upstreams, including past restarts."""
     total = UpstreamRuns()
     plains = await asyncio.gather(
         *(plain.get("/_runs") for plain in deployment.plains.values())
@@ -61,10 +60,10 @@
 
 
 def repeated_runs(runs: UpstreamRuns) -> list[str]:
-    """Return the calls that ran more than once.
+    """Describe the calls that ran more than once.
 
     Bodies are unique, and the load repeats a call without a key only after
-    `not_run`, so a digest that ran twice is a breach as well.
+    `not_run`, so a digest that ran twice is a violation as well.
     """
     return [
         f"{name} ran {count} times"
@@ -75,10 +74,10 @@
 
 
 def wrong_not_run(results: list[LoadResult], runs: UpstreamRuns) -> list[str]:
-    """Return the request ids reported as `not_run` that did run.
+    """Describe requests reported as `not_run` that did run.
 
-    A router keeps the id when it tries another upstream, so a run of an
-    earlier attempt counts too. A caller's next attempt gets another id.
+    A router keeps the request id when it retries at another upstream, so runs
+    of earlier attempts count too. A caller's own retry has a new id.
     """
     return [
         f"request {request_id} ran {runs.by_request_id[request_id]} times"
@@ -91,7 +90,7 @@
 def cut_by_shutdowns(
     results: list[LoadResult], shutdowns: list[GracefulShutdown]
 ) -> list[str]:
-    """Return the requests that got no answer from a router that shut down."""
+    """Describe requests without a response from a router that shut down."""
     return [
         f"{cut.marker}: {cut.outcome} {cut.at_seconds - shutdown.began_at:.2f}"
         " s after the signal"
@@ -108,7 +107,7 @@
 def answers_without_run(
     results: list[LoadResult], runs: UpstreamRuns
 ) -> list[str]:
-    """Return the keys of calls that were answered but never ran."""
+    """Describe calls that got a response but never ran."""
     ran = {name.partition("/")[2] for name in runs.by_key}
     return [
         f"{key} was answered and never ran"
@@ -121,7 +120,7 @@
 def differing_versions(
     versions_by_router: dict[str, dict[str, int] | None], newest: int
 ) -> list[str]:
-    """Return the routers that are not at the newest accepted version."""
+    """Describe routers that lack the newest accepted version."""
     versions = {
         router_id: (found or {}).get(SERVICE_CHAT, 0)
         for router_id, found in versions_by_router.items()
--- a/packages/standins/src/lacewingspar_standins/bench/fault_edits.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_edits.py
@@ -1,4 +1,4 @@
-"""Edits of operators and the versions in force during faults."""
+"""Operator edits and active document versions during faults."""
 
 import asyncio
 import contextlib
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True)
 class VersionWatch:
-    """Versions that routers have shown.
+    """Tracks the document versions that routers report.
 
     Attributes:
-        reverted: Descriptions of versions that went back.
-        readings: Number of readings.
+        reverted: Descriptions of versions that decreased.
+        readings: Number of readings so far.
     """
 
     reverted: list[str] = field(default_factory=list)
@@ -89,7 +89,7 @@
     def note(
         self, router_id: str, process: RouterProcess, versions: dict[str, int]
     ) -> None:
-        """Compare a reading with the newest earlier one of the router."""
+        """Record a reading and report a version that decreased."""
         self.readings += 1
         for service, version in versions.items():
             newest, seen_at = self._seen.get((router_id, service), (0, process))
@@ -104,11 +104,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """One edit of an operator.
+    """An operator's edit.
 
     Attributes:
-        edit_id: Identity.
-        status: HTTP status of the answer, or 0 without one.
+        edit_id: Id of the edit.
+        status: HTTP status, or 0 without a response.
         version: New version if accepted.
     """
 
@@ -120,7 +120,7 @@
 async def async_conflicting_edits(
     deployment: Deployment, draw: random.Random
 ) -> tuple[Edit, ...]:
-    """Publish two edits with the same base at two routers at once."""
+    """Submit two edits of the same version to two routers concurrently."""
     first, second = draw.sample(deployment.plans, 2)
     async with admin_client(EDIT_TIMEOUT_SECONDS) as client:
         versions = await read_versions(client, first)
@@ -165,7 +165,7 @@
 async def async_lost_edits(
     deployment: Deployment, edits: list[Edit]
 ) -> list[str]:
-    """Return the accepted edits that are not in the log at their offset."""
+    """Describe accepted edits that are missing from the log."""
     answer = await deployment.log.get(
         "/streams/configuration/records?limit=10000"
     )
--- a/packages/standins/src/lacewingspar_standins/bench/fault_plan.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_plan.py
@@ -1,4 +1,4 @@
-"""Faults that a seed draws for the benchmark `faults`."""
+"""Random fault plans of the benchmark `faults`."""
 
 import random
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 from lacewingspar_standins.bench.deployment import Shape
 
-# Slot leases run out after 5 s and claims may be sent for 10 s.
+# Slot leases expire after 5 s and claims may be sent for 10 s.
 SHORTEST_FREEZE_SECONDS = 6.0
 LONGEST_FREEZE_SECONDS = 12.0
 SHORTEST_SECONDS = 2.0
@@ -14,7 +14,7 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults."""
+    """Kind of fault."""
 
     ROUTER_KILLED = "router-killed"
     ROUTER_FROZEN = "router-frozen"
@@ -45,13 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault to apply.
+    """A fault to inject.
 
     Attributes:
-        kind: Kind.
+        kind: Kind of fault.
         target: Router, data centre or upstream; "" for the log service.
         data_centre: Data centre of the target, or "".
-        seconds: How long it lasts.
+        seconds: Duration.
     """
 
     kind: FaultKind
@@ -60,18 +60,18 @@
     seconds: float
 
     def __str__(self) -> str:
-        """Return it for the output."""
+        """Return a one-line description."""
         target = f" {self.target}" if self.target else ""
         return f"{self.kind}{target} {self.seconds:.1f} s"
 
 
 @dataclass(frozen=True, slots=True)
 class Targets:
-    """Names that faults may apply to, each with its data centre.
+    """Routers and upstreams that faults can target.
 
     Attributes:
-        routers: Data centres by router.
-        upstreams: Data centres by upstream.
+        routers: Data centre by router.
+        upstreams: Data centre by upstream.
     """
 
     routers: dict[str, str]
@@ -81,7 +81,7 @@
 def draw_rounds(
     seed: int, rounds: int, shape: Shape, targets: Targets
 ) -> list[tuple[PlannedFault, ...]]:
-    """Return one or two faults for each round; they depend on the seed."""
+    """Draw one or two faults for each round from the seed."""
     draw = random.Random(f"faults/{seed}")
     planned: list[tuple[PlannedFault, ...]] = []
     for _ in range(rounds):
@@ -116,12 +116,12 @@
 
 
 def _excludes(fault: PlannedFault, other: PlannedFault) -> bool:
-    """Return whether two faults cannot be judged when they overlap."""
+    """Return whether two faults must not overlap."""
     if fault.kind is other.kind or (
         fault.target and fault.target == other.target
     ):
         return True
-    # A data centre without the VM list cannot know that a VM leaves.
+    # A data centre cut off from the VM list does not see that a VM is leaving.
     kinds = {fault.kind, other.kind}
     return (
         kinds == {FaultKind.UPSTREAM_LEAVING, FaultKind.PLATFORM_CUT}
--- a/packages/standins/src/lacewingspar_standins/bench/faults.py
+++ b/packages/standins/src/lacewingspar_standins/bench/faults.py
@@ -1,4 +1,4 @@
-"""Benchmark `faults`: what a fleet keeps while its parts fail."""
+"""Benchmark `faults`: guarantees of a fleet under faults."""
 
 import asyncio
 import os
@@ -54,7 +54,7 @@
 WARM_UP_SECONDS = 2.0
 SETTLE_SECONDS = 2.0
 READY_SECONDS = 60.0
-# A fault ends within its own time and the longest graceful shutdown.
+# Exceeds the longest fault plus the longest graceful shutdown.
 ROUND_LIMIT_SECONDS = 180.0
 LOAD_TIMEOUT_SECONDS = 40.0
 LOAD_END_LIMIT_SECONDS = 300.0
@@ -68,14 +68,15 @@
     Attributes:
         deployment: Name of the deployment.
         seed: Seed.
-        faults: Faults by round.
+        faults: Faults of each round.
         calls_by_outcome: Requests of the load by outcome.
         keys_run: Number of idempotency keys that ran.
         readings: Number of readings of versions.
-        breaches: Descriptions by check; all must be empty.
-        gap_seconds_by_data_centre: Longest time without a complete answer.
-        shutdown_seconds: Times of graceful shutdowns.
-        edits_by_status: Edits by HTTP status, 0 for none.
+        breaches: Descriptions of violations by check; all must be empty.
+        gap_seconds_by_data_centre: Longest time without a complete
+            response.
+        shutdown_seconds: Durations of graceful shutdowns.
+        edits_by_status: Edits by HTTP status, 0 without a response.
     """
 
     deployment: str
@@ -91,7 +92,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """Return whether no check found a breach."""
+        """Return whether no check found a violation."""
         return not any(self.breaches.values())
 
 
@@ -104,7 +105,7 @@
         Path | None, typer.Option(help="Folder that keeps all logs.")
     ] = None,
 ) -> None:
-    """Break parts of a fleet under load and check what it guarantees."""
+    """Inject faults into a fleet under load and check its guarantees."""
     result = asyncio.run(async_faults(deployment, seed, rounds, keep_logs))
     if output is not None:
         output.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
@@ -152,7 +153,7 @@
     number: int,
     faults: tuple[PlannedFault, ...],
 ) -> None:
-    """Apply the faults of a round and wait until all routers are ready."""
+    """Inject the faults of a round and wait until all routers are ready."""
     started_at = time.monotonic()
     async with (
         asyncio.timeout(ROUND_LIMIT_SECONDS),
@@ -190,7 +191,7 @@
                 )
                 for name in WORKSPACES
             ),
-            # Markers and keys carry the seed, so it differs between loads.
+            # Markers and keys contain the seed and must differ between loads.
             seed=seed * 100 + index,
             max_requests=1_000_000,
             max_seconds=100_000,
@@ -200,7 +201,7 @@
             model=MODEL,
             plain_path=f"/services/{SERVICE_PLAIN}/work",
             median_tokens=40,
-            # Long enough that a killed router mostly leaves a call running.
+            # Long enough that a killed router usually has a call in flight.
             work_ms=300,
         )
         loads[data_centre] = await start_load(
@@ -217,7 +218,7 @@
     watch: VersionWatch,
     results: dict[str, LoadResult],
 ) -> FaultsResult:
-    """Compare what callers were told with what upstreams ran."""
+    """Compare the responses to callers with the runs of the upstreams."""
     runs = await async_read_runs(deployment)
     observed = actions.observed
     loads = list(results.values())
--- a/packages/standins/src/lacewingspar_standins/bench/gossip.py
+++ b/packages/standins/src/lacewingspar_standins/bench/gossip.py
@@ -1,4 +1,4 @@
-"""Many member tables in one process, in simulated time."""
+"""Simulation of heartbeats between many member tables."""
 
 import random
 import time
@@ -18,23 +18,23 @@
     encode_message,
 )
 
-# Part of the interval by which the wait between two beats varies.
+# Random variation of the heartbeat interval, as a fraction of it.
 _BEAT_JITTER = 0.05
 
 
 @dataclass(slots=True)
 class GossipFigures:
-    """Figures of one run.
+    """Results of one simulation.
 
     Attributes:
         sent_bytes: Bytes of all heartbeats.
         messages: Number of heartbeats.
-        cpu_seconds: Processor time of the first router for its heartbeats.
-        local_misses: How often a live router of the own data centre was not
-            seen as alive, over all beats of all routers.
+        cpu_seconds: Processor time that the first router spends on heartbeats.
+        local_misses: Number of times that a live router of the same data
+            centre was not seen as alive, checked at every heartbeat.
         remote_misses: The same for routers of other data centres.
-        suspected_seconds: Time from a failure until each other router of the
-            data centre had seen it.
+        suspected_seconds: Time from a failure until its detection, for each
+            other router of the data centre.
     """
 
     sent_bytes: int = 0
@@ -46,13 +46,13 @@
 
 
 class GossipFleet:
-    """Routers that exchange only heartbeats, without delay.
+    """Simulates routers that exchange heartbeats without delay.
 
     Args:
         routers: Number of routers.
-        data_centres: Number of data centres that share them evenly.
-        seed: Seed of phases and receivers.
-        loss: Part of the heartbeats that is lost.
+        data_centres: Number of data centres, with equal numbers of routers.
+        seed: Seed of heartbeat phases and receivers.
+        loss: Fraction of the heartbeats that is lost.
     """
 
     def __init__(
@@ -79,13 +79,13 @@
         self.first_id = records[0].life.router_id
 
     def run(self, seconds: float) -> None:
-        """Let simulated time pass."""
+        """Advance the simulated time."""
         for router_id in self._beats(self.now + seconds):
             self._beat(router_id)
             self._count_misses(router_id)
 
     def fail(self, router_id: str, seconds: float) -> None:
-        """Stop a router and note when its data centre sees that."""
+        """Stop a router and measure when its data centre detects it."""
         failed = self.membership_by_id.pop(router_id)
         del self._next_beat_by_id[router_id]
         failed_at = self.now
@@ -104,7 +104,7 @@
         self.figures.suspected_seconds += [seconds] * len(unaware)
 
     def _beats(self, until: float) -> Iterator[str]:
-        """Yield the routers in the order of their beats."""
+        """Yield the routers in the order of their heartbeats."""
         while True:
             router_id = min(
                 self._next_beat_by_id, key=self._next_beat_by_id.__getitem__
@@ -162,7 +162,7 @@
 
 
 def member_record(index: int, data_centres: int) -> MemberRecord:
-    """Return the record of a router that serves."""
+    """Return the member record of a serving router."""
     data_centre = f"dc-{index % data_centres + 1}"
     return MemberRecord(
         life=RouterInstance(
--- a/packages/standins/src/lacewingspar_standins/bench/load_processes.py
+++ b/packages/standins/src/lacewingspar_standins/bench/load_processes.py
@@ -1,4 +1,4 @@
-"""Load generators that run as processes of their own."""
+"""Load generators in separate processes."""
 
 import asyncio
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
     Attributes:
         name: Name of the process.
         process: The process.
-        output: File that receives its result.
+        output: File for its result.
     """
 
     name: str
@@ -27,7 +27,7 @@
     output: Path
 
     async def result(self) -> LoadResult:
-        """Wait for the end of the load and return its result.
+        """Wait until the load ends and return its result.
 
         Raises:
             FleetError: The load generator failed.
@@ -41,7 +41,7 @@
 async def start_load(
     fleet: Fleet, name: str, options: LoadOptions
 ) -> LoadProcess:
-    """Start a load generator."""
+    """Start a load generator process."""
     options_file = fleet.folder / f"{name}.options.json"
     options_file.write_bytes(msgspec.json.encode(options))
     output = fleet.folder / f"{name}.result.json"
--- a/packages/standins/src/lacewingspar_standins/bench/path.py
+++ b/packages/standins/src/lacewingspar_standins/bench/path.py
@@ -1,4 +1,4 @@
-"""Benchmark `path`: what a router adds on the way of a request."""
+"""Benchmark `path`: latency and cost that a router adds to a request."""
 
 import asyncio
 from dataclasses import dataclass
@@ -35,18 +35,18 @@
 PERCENTS = (50, 99)
 REQUESTS_PER_SECOND = 7.0
 TOKENS_PER_SECOND = 2150
-# Largest values, in milliseconds and as a ratio.
+# Upper limits, in milliseconds or as a ratio.
 TARGETS = {
     "whole_added_router_p99_ms": 3.0,
     "first_event_added_router_p99_ms": 3.0,
     "event_added_router_p99_ms": 3.0,
     "cpu_per_event_router_to_bare": 2.0,
 }
-# Enough clients to keep one core busy.
+# Enough to keep one core busy.
 REQUEST_CLIENTS = 64
 SATURATING_STREAMS = 400
-# At about half a core each event passes alone, while a busy router passes
-# several events at once, which costs less for each.
+# Uses about half a core, so that each event is forwarded alone. A busy router
+# forwards several events at once, at a lower cost per event.
 STEADY_STREAMS = 30
 STREAM_TOKENS = 150
 OPEN_STREAMS = 1000
@@ -57,7 +57,7 @@
 
 
 class Phase(StrEnum):
-    """Parts of the benchmark."""
+    """Phase of the benchmark."""
 
     LATENCY = "latency"
     REQUESTS = "requests"
@@ -71,9 +71,9 @@
     """Plan of a round.
 
     Attributes:
-        seconds: Time of each phase.
+        seconds: Duration of each phase.
         seed: Seed of the load.
-        phases: Parts to run.
+        phases: Phases to run.
     """
 
     seconds: float
@@ -94,7 +94,7 @@
         Path | None, typer.Option(help="File for the figures as JSON.")
     ] = None,
 ) -> None:
-    """Compare the way through a router with a bare proxy and no proxy."""
+    """Compare requests through a router, a bare proxy and no proxy."""
     report = uvloop.run(run_path(rounds, seconds, seed, frozenset(phase)))
     print_report(report, output)
     for line in target_lines(report):
@@ -145,7 +145,7 @@
 
 
 async def _latency(rig: PathRig, seconds: float, seed: int) -> Figures:
-    """Return the times on the way at the load of the target size."""
+    """Measure the added latency at the target load."""
     plan = OpenLoop(
         seed,
         seconds,
@@ -174,7 +174,7 @@
 
 
 async def _requests(rig: PathRig, seconds: float) -> Figures:
-    """Return how many whole requests one process carries."""
+    """Measure the request throughput of one process."""
     figures: Figures = {}
     for way in MEASURED_WAYS:
         client = PathClient(rig.address_of(way), MODEL_FAST)
@@ -206,7 +206,7 @@
 
 
 async def _steady_events(rig: PathRig, seconds: float) -> Figures:
-    """Return the processor time of one event that passes alone."""
+    """Measure the processor time per event when each is forwarded alone."""
     figures: Figures = {}
     for way in MEASURED_WAYS:
         client, meter = await _streams(rig, way, STEADY_STREAMS, seconds)
@@ -223,7 +223,7 @@
 
 
 async def _saturating_events(rig: PathRig, seconds: float) -> Figures:
-    """Return how many events one process carries."""
+    """Measure the event throughput of one process."""
     figures: Figures = {}
     for way in MEASURED_WAYS:
         client, meter = await _streams(rig, way, SATURATING_STREAMS, seconds)
@@ -260,7 +260,7 @@
 
 
 async def _at_rest(rig: PathRig, seconds: float) -> Figures:
-    """Return what the router uses without load."""
+    """Measure what the router uses without load."""
     meter = CpuMeter(rig.pid_of("router"))
     await asyncio.sleep(seconds)
     return {
@@ -272,7 +272,7 @@
 
 
 async def _open_streams(rig: PathRig) -> Figures:
-    """Return the memory with many open streams."""
+    """Measure the memory with many open streams."""
     figures: Figures = {}
     for way, address, pid in (
         ("bare", rig.slow_proxy.address, rig.slow_proxy.process.pid),
--- a/packages/standins/src/lacewingspar_standins/bench/path_client.py
+++ b/packages/standins/src/lacewingspar_standins/bench/path_client.py
@@ -1,4 +1,4 @@
-"""Client of the benchmark `path`."""
+"""HTTP client of the benchmark `path`."""
 
 import asyncio
 import random
@@ -29,17 +29,17 @@
 
 
 class PathError(Exception):
-    """An answer of the benchmark is not what it should be."""
+    """A response is incomplete or invalid."""
 
 
 @dataclass(slots=True)
 class Times:
-    """Times in milliseconds on the way between client and engine.
+    """Transit times between client and engine, in milliseconds.
 
     Attributes:
-        whole: Way to the engine and back, for whole answers.
-        first_event: Way to the engine and back to the first event.
-        event: Way back of each part of a stream.
+        whole: Both directions, for non-streaming responses.
+        first_event: Both directions, for the first event of a stream.
+        event: From the engine to the client, for each chunk of a stream.
     """
 
     whole: list[float] = field(default_factory=list)
@@ -51,14 +51,14 @@
     """Sends chat requests to one address.
 
     Args:
-        address: Where the requests go as `host:port`.
+        address: Target address as `host:port`.
         model: Model of the requests.
 
     Attributes:
-        times: Times on the way.
-        answers: Number of complete answers.
+        times: Transit times.
+        answers: Number of complete responses.
         events: Number of token events received.
-        errors: Requests of closed loops that failed, and why.
+        errors: Errors of failed requests in closed loops.
     """
 
     def __init__(self, address: str, model: str) -> None:
@@ -75,7 +75,7 @@
         self._pool.close()
 
     async def whole(self, tokens: int) -> None:
-        """Send a request that is answered whole."""
+        """Send a request with a non-streaming response."""
         connection = await self._pool.acquire(self._address)
         try:
             started_ns = time.monotonic_ns()
@@ -92,15 +92,15 @@
             self._pool.release(self._address, connection)
 
     async def stream(self, tokens: int) -> None:
-        """Send a request that is answered as an event stream."""
+        """Send a request with an event stream as response."""
         async for _ in self.parts(tokens):
             pass
 
     async def parts(self, tokens: int) -> AsyncGenerator[None, None]:
-        """Send a request and yield at each part of its event stream.
+        """Send a request and yield at each chunk of its event stream.
 
         Raises:
-            PathError: The stream is not complete.
+            PathError: The stream is incomplete.
         """
         connection = await self._pool.acquire(self._address)
         try:
@@ -121,7 +121,7 @@
                 last = part
                 yield
             if not last.endswith(END_OF_STREAM):
-                raise PathError("stream ends without its end marker")
+                raise PathError("stream ended without its end marker")
             if count != tokens + _EVENTS_WITHOUT_TOKEN:
                 raise PathError(f"{count} events for {tokens} tokens")
             self.answers += 1
@@ -157,7 +157,7 @@
 async def run_open_loop(
     client: PathClient, plan: "OpenLoop", *, stream: bool
 ) -> None:
-    """Send requests at random times, with random numbers of tokens."""
+    """Send requests at random times with random numbers of tokens."""
     draw = random.Random(plan.seed)
     due_at = time.monotonic()
     ends_at = due_at + plan.seconds
@@ -182,7 +182,7 @@
     tokens: int,
     stream: bool,
 ) -> None:
-    """Send requests one after the other with a number of clients."""
+    """Run several clients that each send one request at a time."""
     ends_at = time.monotonic() + seconds
 
     async def run_client() -> None:
@@ -200,7 +200,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenLoop:
-    """Requests at random times.
+    """Load with random arrival times.
 
     Attributes:
         seed: Seed of the times and numbers of tokens.
--- a/packages/standins/src/lacewingspar_standins/bench/process_usage.py
+++ b/packages/standins/src/lacewingspar_standins/bench/process_usage.py
@@ -5,13 +5,13 @@
 from pathlib import Path
 
 _TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
-# Fields of /proc/PID/stat after the name of the program.
+# Field indexes in /proc/PID/stat, counted after the command name.
 _USER_TICKS_FIELD = 11
 _SYSTEM_TICKS_FIELD = 12
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time of a process in seconds."""
     text = Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
     ticks = int(fields[_USER_TICKS_FIELD]) + int(fields[_SYSTEM_TICKS_FIELD])
@@ -19,7 +19,7 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the memory of a process that is resident."""
+    """Return the resident memory of a process."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         name, _, value = line.partition(":")
         if name == "VmRSS":
@@ -28,10 +28,10 @@
 
 
 class CpuMeter:
-    """Share of a core that a process uses since the meter was made.
+    """Measures the processor time of a process since construction.
 
     Args:
-        pid: The process.
+        pid: Process id.
     """
 
     def __init__(self, pid: int) -> None:
--- a/packages/standins/src/lacewingspar_standins/bench/processes.py
+++ b/packages/standins/src/lacewingspar_standins/bench/processes.py
@@ -1,4 +1,4 @@
-"""Command line of the processes that benchmarks start."""
+"""Command line of the benchmarks' helper processes."""
 
 from typing import Annotated
 
@@ -20,7 +20,7 @@
 
 @app.command()
 def engine(model: str = "model", slots: int = 16, step_ms: float = 10) -> None:
-    """Run a model engine whose answers carry times."""
+    """Run a model engine that adds timestamps to its responses."""
     options = EngineOptions(
         models=(model,),
         batch=BatchOptions(
--- a/packages/standins/src/lacewingspar_standins/bench/propagation.py
+++ b/packages/standins/src/lacewingspar_standins/bench/propagation.py
@@ -1,4 +1,4 @@
-"""Benchmark `propagation`: time until an edit is in force at every router."""
+"""Benchmark `propagation`: time until an edit is active at every router."""
 
 import asyncio
 import statistics
@@ -19,7 +19,7 @@
 
 STEP_MS = 10.0
 POLL_SECONDS = 0.005
-# Longer than the limit that operators are promised.
+# Exceeds the propagation time that operators are promised.
 GIVE_UP_SECONDS = 30.0
 
 
@@ -31,12 +31,12 @@
         typer.Option(help="Cut the last data centre off from the platform."),
     ] = False,
 ) -> None:
-    """Measure how long an accepted edit takes to be in force everywhere."""
+    """Measure how long an accepted edit takes to be active everywhere."""
     times = asyncio.run(async_propagation(deployment, edits, cut_platform))
     typer.echo(
         f"{len(times)} edits, deployment {deployment}, "
         f"last data centre cut off from the platform: {cut_platform}; "
-        f"in force everywhere after median {statistics.median(times):.3f} s, "
+        f"active everywhere after median {statistics.median(times):.3f} s, "
         f"longest {max(times):.3f} s"
     )
 
@@ -44,7 +44,7 @@
 async def async_propagation(
     name: str, edits: int, cut_platform: bool
 ) -> list[float]:
-    """Return the time from publishing to force at all routers, in seconds."""
+    """Return the seconds from publication until active at all routers."""
     shape = SHAPES_BY_NAME[name]
     workspaces = (workspace_entry("ws-01"),)
     async with (
@@ -64,7 +64,7 @@
 async def _async_edit(
     deployment: Deployment, client: httpx.AsyncClient, number: int
 ) -> float:
-    """Publish one edit and wait until it is in force everywhere."""
+    """Publish an edit and wait until it is active everywhere."""
     admin = deployment.plans[0].admin_address
     answer = await client.get(f"http://{admin}/v1/services/{SERVICE_CHAT}")
     weight = 1.0 + number / 100
--- a/packages/standins/src/lacewingspar_standins/bench/report.py
+++ b/packages/standins/src/lacewingspar_standins/bench/report.py
@@ -1,4 +1,4 @@
-"""Figures of a benchmark as a table and as JSON."""
+"""Benchmark reports as a table and as JSON."""
 
 import statistics
 from collections.abc import Mapping, Sequence
@@ -15,7 +15,7 @@
 
     Attributes:
         name: Name of the benchmark.
-        options: Its options.
+        options: Options of the benchmark.
         medians: Median of each figure over the rounds.
         rounds: Figures of each round.
     """
@@ -29,7 +29,7 @@
 def new_report(
     name: str, options: Figures, rounds: Sequence[Figures]
 ) -> Report:
-    """Return a report with the medians of all rounds."""
+    """Create a report with the medians of all rounds."""
     names = list(dict.fromkeys(key for figures in rounds for key in figures))
     return Report(
         name=name,
@@ -61,7 +61,7 @@
 
 
 def percentile(values: Sequence[float], percent: float) -> float:
-    """Return the value that `percent` of the values do not exceed."""
+    """Return a percentile of the values."""
     ordered = sorted(values)
     rank = round(percent / 100 * (len(ordered) - 1))
     return ordered[rank]
--- a/packages/standins/src/lacewingspar_standins/bench/rig.py
+++ b/packages/standins/src/lacewingspar_standins/bench/rig.py
@@ -19,11 +19,11 @@
 DATA_CENTRE = "east"
 ENGINE_SLOTS = 2048
 STEP_MS = 10
-# Many open streams should load the memory of the router, not its processor.
+# Slow streams load the memory of the router, not its processor.
 SLOW_STEP_MS = 1000
-# The router expects that work waits as long as the grants of a quiet time
-# suggest, so with a deadline of 60 s it refuses a burst although slots are
-# free. This benchmark measures the path and not that estimate.
+# The router estimates queueing time from its recent grant rate. After a quiet
+# period this is so long that with a deadline of 60 s it refuses a burst although
+# slots are free. This benchmark does not measure that estimate.
 LONG_DEADLINE = RequestClass(name="default", deadline_seconds=86_400.0)
 
 
@@ -37,7 +37,7 @@
         proxy: Bare proxy in front of the fast engine.
         slow_proxy: Bare proxy in front of the slow engine.
         router: Router in front of both engines.
-        router_address: Its address for callers.
+        router_address: Caller address of the router.
     """
 
     engine: StandInProcess
@@ -48,12 +48,12 @@
     router_address: str
 
     def pid_of(self, way: str) -> int:
-        """Return the process that is measured on a way to the engine."""
+        """Return the id of the process to measure for a path."""
         process = self.router if way == "router" else self.proxy
         return process.process.pid
 
     def address_of(self, way: str) -> str:
-        """Return where requests for the fast model go."""
+        """Return the address for fast-model requests over a path."""
         return {
             "direct": self.engine.address,
             "bare": self.proxy.address,
--- a/packages/standins/src/lacewingspar_standins/bench/router_figures.py
+++ b/packages/standins/src/lacewingspar_standins/bench/router_figures.py
@@ -18,7 +18,7 @@
 
 
 class RouterCounters(msgspec.Struct, frozen=True):
-    """Counters of one router at one time.
+    """A reading of one router's counters.
 
     Attributes:
         at_seconds: Time of the reading.
@@ -42,7 +42,7 @@
         sent_bytes_per_second: Control traffic sent.
         received_bytes_per_second: Control traffic received.
         sent_by_type: Control traffic sent by message type, in bytes a second.
-        cpu_share: Processor time by time, for control and requests.
+        cpu_share: Processor time as a fraction of one core.
         memory_bytes: Resident memory at the end.
     """
 
@@ -56,7 +56,7 @@
 async def read_router_counters(
     deployment: Deployment,
 ) -> dict[str, RouterCounters]:
-    """Return the counters of the routers that run, by router id."""
+    """Read the counters of the running routers, by router id."""
     counters: dict[str, RouterCounters] = {}
     async with httpx.AsyncClient(trust_env=False) as client:
         for plan in deployment.plans:
@@ -80,7 +80,7 @@
 def router_figures(
     before: RouterCounters, after: RouterCounters
 ) -> RouterFigures:
-    """Return the figures between two readings."""
+    """Compute the figures between two readings."""
     seconds = after.at_seconds - before.at_seconds
     sent = _rates(before.sent_bytes, after.sent_bytes, seconds)
     received = _rates(before.received_bytes, after.received_bytes, seconds)
@@ -115,7 +115,7 @@
 def read_process(pid: int) -> tuple[float, int]:
     """Return processor time in seconds and resident memory in bytes."""
     text = Path(f"/proc/{pid}/stat").read_text(encoding="ascii")
-    # The second field, the command in brackets, may contain spaces.
+    # The second field, the command in parentheses, may contain spaces.
     fields = ["", "", *text.rpartition(")")[2].split()]
     ticks = int(fields[_USER_TIME_FIELD]) + int(fields[_SYSTEM_TIME_FIELD])
     cpu_seconds = ticks / os.sysconf("SC_CLK_TCK")
