--- a/packages/standins/src/lacewingspar_standins/bench/capacity.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity.py
@@ -56,7 +56,7 @@
         core=capacity_core.measure_backlog,
     ),
     "holders": Factor(
-        "holders with 70 backlogged workspaces",
+        "ingress routers with 70 backlogged workspaces",
         (10, 20, 40, 78),
         78,
         core=capacity_core.measure_holders,
@@ -86,7 +86,7 @@
         router=capacity_routers.async_measure_peers,
     ),
     "upstreams": Factor(
-        "upstreams of the data centre",
+        "upstreams in the data centre",
         (10, 40, 80, 160),
         360,
         router=capacity_routers.async_measure_upstreams,
--- a/packages/standins/src/lacewingspar_standins/bench/propagation.py
+++ b/packages/standins/src/lacewingspar_standins/bench/propagation.py
@@ -28,7 +28,7 @@
     edits: Annotated[int, typer.Option(help="Number of edits.")] = 20,
     cut_platform: Annotated[
         bool,
-        typer.Option(help="Cut the last data centre off from the platform."),
+        typer.Option(help="Disconnect the last data centre from the platform."),
     ] = False,
 ) -> None:
     """Measure how long an accepted edit takes to be active everywhere."""
--- a/packages/standins/src/lacewingspar_standins/bench/rig.py
+++ b/packages/standins/src/lacewingspar_standins/bench/rig.py
@@ -22,8 +22,8 @@
 # Slow streams load the memory of the router, not its processor.
 SLOW_STEP_MS = 1000
 # The router estimates queueing time from its recent grant rate. After a quiet
-# period this is so long that with a deadline of 60 s it refuses a burst although
-# slots are free. This benchmark does not measure that estimate.
+# period the estimate is long, and with a deadline of 60 s the router refuses a
+# burst although slots are free. This benchmark does not measure that estimate.
 LONG_DEADLINE = RequestClass(name="default", deadline_seconds=86_400.0)
 
 
--- a/packages/standins/src/lacewingspar_standins/bench/share.py
+++ b/packages/standins/src/lacewingspar_standins/bench/share.py
@@ -41,8 +41,8 @@
 from lacewingspar_standins.process import StandInProcess
 
 SAMPLE_SECONDS = 0.5
-# One workspace that is alone at the start takes every slot; that is repaid
-# before the measurement begins.
+# A workspace that starts alone takes every slot. Fair queueing compensates for
+# this before the measurement begins.
 RAMP_SECONDS = 10.0
 STEP_MS = 10.0
 
@@ -52,12 +52,13 @@
 
     Attributes:
         deployment: Name of the deployment.
-        seconds: Time of measurement.
+        seconds: Duration of the measurement.
         seed: Seed of the load.
-        cut_seconds: Time for which the last data centre is cut off.
+        cut_seconds: Time for which the last data centre is disconnected.
         kill_router: Whether a router is killed.
         quantum_seconds: Slot quantum of both services.
-        has_baseline: Whether the same load also runs through plain balancers.
+        has_baseline: Whether to run the same load through the baseline
+            balancers as well.
     """
 
     deployment: str
@@ -77,8 +78,8 @@
         fairness_by_service: Figures by service.
         baseline_by_service: Figures of the baseline, without faults.
         latency_p99_by_workspace: 99th percentile of the time from sending to
-            the end of the answer, in seconds, by load process and workspace.
-        problems: Wrong or mixed-up answers.
+            the end of the response, in seconds, by load process and workspace.
+        problems: Wrong or mixed-up responses.
         figures_by_router: Control traffic and processor time by router.
     """
 
@@ -95,20 +96,20 @@
     seconds: Annotated[float, typer.Option(help="Measured time.")] = 60.0,
     seed: Annotated[int, typer.Option(help="Seed of the load.")] = 1,
     cut_seconds: Annotated[
-        float, typer.Option(help="Cut one data centre off for this long.")
+        float, typer.Option(help="Disconnect one data centre for this long.")
     ] = 0.0,
     kill_router: Annotated[
         bool, typer.Option(help="Kill a router after a third of the time.")
     ] = False,
     baseline: Annotated[
-        bool, typer.Option(help="Also run the load through plain balancers.")
+        bool, typer.Option(help="Also run the load through baseline balancers.")
     ] = False,
     quantum: Annotated[
         float, typer.Option(help="slot_quantum_seconds of both services.")
     ] = Limits().slot_quantum_seconds,
     output: Annotated[Path | None, typer.Option(help="Result file.")] = None,
     folder: Annotated[
-        Path | None, typer.Option(help="Keep settings, logs and traces.")
+        Path | None, typer.Option(help="Folder for settings, logs and traces.")
     ] = None,
 ) -> None:
     """Measure fairness gap, utilisation and control traffic."""
@@ -224,7 +225,7 @@
 async def _async_sample(
     deployment: Deployment, seconds: float
 ) -> dict[str, list[Sample]]:
-    """Sample the upstreams' accounts."""
+    """Sample the slot time that the upstreams account to workspaces."""
     started_at = time.monotonic()
     samples: dict[str, list[Sample]] = {SERVICE_CHAT: [], SERVICE_PLAIN: []}
     while True:
--- a/packages/standins/src/lacewingspar_standins/bench/share_load.py
+++ b/packages/standins/src/lacewingspar_standins/bench/share_load.py
@@ -1,4 +1,4 @@
-"""Load of the benchmark `share`: workspaces that enter the fleet unevenly."""
+"""Load of the benchmark `share`: workspaces with uneven entry points."""
 
 from lacewingspar_standins.bench.deployment import (
     MODEL,
@@ -10,7 +10,7 @@
 from lacewingspar_standins.fleet_settings import token_of
 from lacewingspar_standins.load_options import LoadOptions, WorkspaceLoad
 
-# Requests in flight of each backlogged workspace; the first two are large.
+# Requests in flight per backlogged workspace. The first two are the large ones.
 CONCURRENCY_BY_WORKSPACE = {
     "ws-01": 60,
     "ws-02": 40,
@@ -25,7 +25,7 @@
     "ws-11": 16,
     "ws-12": 16,
 }
-# Requests a second of the other workspaces, which are not backlogged.
+# Requests per second of the workspaces that are not backlogged.
 RATE_BY_WORKSPACE = {"ws-13": 0.5, "ws-14": 0.5, "ws-15": 1.0, "ws-16": 1.0}
 
 
@@ -34,8 +34,8 @@
 ) -> list[LoadProcess]:
     """Start one load process for each service and group of workspaces.
 
-    Workspaces enter the fleet unevenly: the large ones everywhere, each of
-    the others by one data centre only.
+    The large workspaces send to all data centres, each of the others to only
+    one.
     """
     data_centres = deployment.shape.data_centres
     loads: list[LoadProcess] = []
@@ -65,7 +65,7 @@
 
 
 def _groups(data_centres: int) -> list[list[str]]:
-    """Return the large workspaces, then the others by data centre."""
+    """Return a group of the large workspaces, then one per data centre."""
     names = [*CONCURRENCY_BY_WORKSPACE, *RATE_BY_WORKSPACE]
     others = names[2:]
     return [names[:2], *(others[n::data_centres] for n in range(data_centres))]
--- a/packages/standins/src/lacewingspar_standins/bench/soak.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak.py
@@ -1,11 +1,11 @@
-"""Benchmark `soak`: random faults from outside against a platform fleet.
+"""Benchmark `soak`: random faults in a fleet on the platform.
 
-Routers run as processes; the store, the upstreams and the links between all
-parts run here, where faults are put into them. Faults come in series and
-overlap. Callers keep their connections until these are closed.
+Routers run as processes. The store, the upstreams and the links between them
+run in this process, which injects faults into them. Faults can overlap and
+follow each other. Callers keep their connections until these are closed.
 
-The routers keep nothing on disk and compare no clocks of several VMs, so that
-neither is disturbed.
+Disk and clock faults are not injected, because routers keep nothing on disk and
+don't compare clocks of different VMs.
 """
 
 import asyncio
@@ -32,17 +32,17 @@
 DEFAULT_ROUTERS = 5
 DEFAULT_ROUNDS = 6
 CALLERS_PER_ROUTER = 5
-# Length of a round; its faults begin at any moment of it.
+# Faults start at random times within a round.
 ROUND_SECONDS = 3.0
 WARM_UP_SECONDS = 2.0
-# Time in which the fleet notices the end of a fault.
+# Time until the fleet has detected the end of a fault.
 NOTICE_SECONDS = 3.5
-# Time from the last fault until everything is served again, and for which that
-# is checked.
+# The fleet has this long to recover from the last fault; then requests are
+# checked for the following time.
 RECOVERY_SECONDS = 6.0
 CHECKED_SECONDS = 3.0
 
-# Field of a fault set and its value.
+# Name and value of a field of `Faults`.
 Fault = tuple[str, Any]
 
 
@@ -51,9 +51,9 @@
     """Result of a soak.
 
     Attributes:
-        faults: Faults in order of their begin.
-        calls_by_status: Requests by status, 0 without an answer.
-        breaches: What was broken, by check.
+        faults: Faults in the order in which they ended.
+        calls_by_status: Requests by status, 0 without a response.
+        breaches: Descriptions of violations by check.
     """
 
     faults: list[str]
@@ -62,13 +62,13 @@
 
 
 class Soak:
-    """Applies faults and notes when.
+    """Injects faults and records when.
 
     Attributes:
         fleet: The deployment.
-        spans: Disturbances so far.
-        flips: Time and number of each configuration.
-        drains: Announced departures of upstreams.
+        spans: Faults so far.
+        flips: Time and route number of each published configuration.
+        drains: Drained upstreams with the start and end of each drain.
     """
 
     def __init__(self, fleet: SoakFleet) -> None:
@@ -86,7 +86,7 @@
     async def async_apply(
         self, disturbance: "Disturbance", generator: random.Random
     ) -> None:
-        """Disturb a part that nothing else disturbs, and note when."""
+        """Inject a fault into a random part without a fault."""
         parts = disturbance.parts(self.fleet)
         free = sorted(set(parts) - self._busy)
         if len(free) < disturbance.least_free:
@@ -113,16 +113,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A way to disturb one part of the deployment.
+    """A kind of fault that can be injected into a part of the deployment.
 
     Attributes:
-        kind: Name of the fault, unless it is one of `faults`.
-        parts: Returns the names of the parts that it may disturb.
-        work: Disturbs a part and returns when that is over.
-        faults: Faults, of which one is drawn, or none.
-        subject: What callers may notice, if it is not the part itself.
-        least_free: Undisturbed parts that there must be before. By default one
-            is left afterwards.
+        kind: Name of the fault, unless it is drawn from `faults`.
+        parts: Returns the names of the parts that it can affect.
+        work: Injects the fault into a part, reverts it and returns.
+        faults: Faults to draw one from, or empty.
+        subject: Subject of the recorded span, if not the part itself.
+        least_free: Minimum number of parts without a fault before the
+            injection. The default leaves one such part afterwards.
     """
 
     kind: str
@@ -212,7 +212,7 @@
 
 @contextmanager
 def _in_force(faults: Faults, fault: Fault) -> Iterator[None]:
-    """Put a fault in force, and take it back."""
+    """Activate a fault until the context ends."""
     field, value = fault
     normal = getattr(faults, field)
     setattr(faults, field, value)
@@ -241,7 +241,7 @@
 
 
 async def _async_flip(soak: Soak, generator: random.Random) -> None:
-    """Publish other configurations, which disturbs nothing."""
+    """Publish alternating configurations, which is not a fault."""
     for _ in range(generator.choice((1, 1, 4))):
         number = 1 - soak.flips[-1][1]
         soak.fleet.publish(number)
@@ -275,7 +275,7 @@
     ("no_seal", True),
     ("status", 500),
 )
-# None publishes configurations.
+# None stands for publishing configurations.
 _WEIGHT_BY_DISTURBANCE: dict[Disturbance | None, int] = {
     Disturbance("pause", _routers, _async_pause): 2,
     Disturbance("kill", _routers, _async_kill): 2,
@@ -300,7 +300,7 @@
         Path | None, typer.Option(help="Folder that keeps all logs.")
     ] = None,
 ) -> None:
-    """Break parts of a platform fleet under load and check what it keeps."""
+    """Inject faults into a fleet on the platform and check its guarantees."""
     is_clean = True
     for number in range(seed, seed + seeds):
         folder = None if keep_logs is None else keep_logs / str(number)
@@ -321,7 +321,7 @@
 async def async_soak(
     seed: int, rounds: int, routers: int, folder: Path | None = None
 ) -> SoakResult:
-    """Run one seed.
+    """Run the soak with one seed.
 
     Args:
         seed: Seed of the faults and of the load.
@@ -365,17 +365,17 @@
     rounds: int,
     count: int,
 ) -> float:
-    """Play all rounds under load.
+    """Run all rounds under load.
 
     Args:
         soak: The soak.
         callers: The callers.
-        generator: Generator of the faults.
+        generator: Random generator of the faults.
         rounds: Number of rounds of faults.
         count: Number of callers.
 
     Returns:
-        Time from which on everything should be served again.
+        Time from which all requests should be served again.
     """
     tasks = [
         asyncio.create_task(soak.fleet.async_beat()),
@@ -398,7 +398,7 @@
 def _begin_round(
     soak: Soak, generator: random.Random, group: asyncio.TaskGroup
 ) -> None:
-    """Begin the faults of a round, each at its own moment."""
+    """Schedule the faults of a round at random times."""
     disturbances = list(_WEIGHT_BY_DISTURBANCE)
     weights = list(_WEIGHT_BY_DISTURBANCE.values())
     count = generator.choice((1, 2, 3))
--- a/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the fault soak, and what they have seen."""
+"""Callers of the fault soak and the responses that they receive."""
 
 import asyncio
 import itertools
@@ -15,7 +15,7 @@
 from lacewingspar_router.http1.messages import ResponseEnd, ResponseHead
 from lacewingspar_standins.deployed.documents import request_bytes
 
-# Paths by weight. Those that flip exist in every other configuration.
+# Weights of the paths. Each flip path exists in every other configuration.
 WEIGHT_BY_PATH = {
     "/stream/": 4,
     "/stream-once/": 2,
@@ -26,31 +26,31 @@
 }
 # Paths whose requests must not run twice.
 SINGLE_RUN_PATHS = frozenset({"/stream-once/", "/write/"})
-# Part of the callers that leave before their answer.
+# Fraction of the requests whose caller disconnects before the response.
 LEAVING_FRACTION = 0.06
-# Time between two requests of one caller, in seconds.
+# Upper limit of the time between two requests of a caller.
 LONGEST_PAUSE_SECONDS = 0.12
-# Callers wait this much longer than the deadline that they give.
+# Callers wait this long after the deadline of their request.
 OVERTIME_SECONDS = 2.0
 CONNECT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class SeenCall:
-    """A request and its answer, as its caller has seen them.
+    """A request and its response, as seen by the caller.
 
     Attributes:
-        request_id: Identity of the request.
-        path: Path.
+        request_id: Id of the request.
+        path: Path of the request.
         router_id: Router that it was sent to.
         sent_at: Time of sending in seconds of the event loop.
-        deadline_seconds: Time that the caller gave.
-        ended_at: Time of the end, or infinity.
-        left_at: Time at which the caller left, or infinity.
-        status: Status, or 0 without an answer.
-        headers: Headers in lower case.
-        body: Body as far as it came.
-        is_complete: Whether the end of the answer came.
+        deadline_seconds: Deadline of the request, relative to `sent_at`.
+        ended_at: Time at which the exchange ended, or infinity.
+        left_at: Time at which the caller disconnected, or infinity.
+        status: HTTP status, or 0 without a response.
+        headers: Response headers by lower-case name.
+        body: Body received so far.
+        is_complete: Whether the end of the response was received.
     """
 
     request_id: str
@@ -67,7 +67,7 @@
 
     @property
     def is_closed_unanswered(self) -> bool:
-        """Return whether the connection ended without a whole answer."""
+        """Return whether the connection closed before the response ended."""
         return not self.is_complete and self.left_at == float("inf")
 
 
@@ -78,7 +78,7 @@
         calls: All requests so far.
 
     Args:
-        address_by_router_id: Addresses for callers.
+        address_by_router_id: Caller addresses of the routers.
         seed: Seed of the load.
     """
 
@@ -125,7 +125,7 @@
         router_id: str,
         generator: random.Random,
     ) -> bool:
-        """Send one request; return whether the connection may be kept."""
+        """Send a request and return whether the connection is reusable."""
         loop = asyncio.get_running_loop()
         path = generator.choices(
             list(WEIGHT_BY_PATH), list(WEIGHT_BY_PATH.values())
--- a/packages/standins/src/lacewingspar_standins/bench/soak_checks.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_checks.py
@@ -1,4 +1,4 @@
-"""What the fault soak checks, from what callers and upstreams have seen."""
+"""Checks of the fault soak."""
 
 import math
 import re
@@ -10,19 +10,19 @@
 )
 from lacewingspar_standins.deployed.upstream import SEAL, Upstream
 
-# Statuses by which a router says that a request has not run.
+# Statuses that mean that the request has not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-# A final answer comes at most this long after the deadline.
+# Maximum delay of a response after the deadline.
 LATE_ANSWER_SECONDS = 0.5
-# No request reaches an upstream this long after its caller has left.
+# Maximum time from a caller's disconnect until its request reaches an upstream.
 LEFT_SECONDS = 0.6
-# Routers take a new configuration over within this time.
+# Maximum time until routers apply a new configuration.
 APPLY_SECONDS = 2.0
-# No request reaches an upstream this long after it has announced to leave.
+# Maximum time for which a draining upstream still receives requests.
 DRAIN_SECONDS = 2.0
-# A request that was sent this long before its connection ended was read.
+# A request sent less than this before its connection closed may be unread.
 CROSSING_SECONDS = 0.2
-# Part of the requests that is served after the last fault.
+# Minimum fraction of the requests that are served after the last fault.
 SERVED_AFTER_FAULTS = 0.95
 SHOWN = 5
 
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """Time during which something was disturbed.
+    """Period in which a fault affected a part.
 
     Attributes:
         subject: Router or upstream by id, `store`, or `link` for each link.
         kind: Kind of the fault.
-        start: Begin in seconds of the event loop.
-        end: End, with the time that the fleet needs to notice it.
+        start: Start in seconds of the event loop.
+        end: End, including the time that the fleet needs to detect it.
     """
 
     subject: str
@@ -46,23 +46,22 @@
     end: float
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Return whether the span has a moment of another one."""
+        """Return whether the span overlaps a period."""
         return self.start <= end and start <= self.end
 
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """Everything that was seen.
+    """Everything that was observed in a soak.
 
     Attributes:
         calls: Requests of the callers.
-        upstreams: Upstreams with the requests that reached them.
-        spans: Disturbances.
-        flips: Time and number of the path of each configuration.
-        drains: Upstream and time of each announced departure, and of the
-            return.
-        faults_end_at: Time after which no fault was in force.
-        events: Events of a whole stream.
+        upstreams: Upstreams with the requests that they received.
+        spans: Periods of the injected faults.
+        flips: Time and route number of each configuration.
+        drains: Upstream, start and end of each drain.
+        faults_end_at: Time after which no fault was active.
+        events: Number of events in a complete stream.
     """
 
     calls: list[SeenCall]
@@ -74,7 +73,7 @@
     events: int
 
     def is_calm(self, start: float, end: float, *subjects: str) -> bool:
-        """Return whether none of some subjects was disturbed."""
+        """Return whether no fault affected the subjects in a period."""
         return not any(
             span.subject in subjects and span.overlaps(start, end)
             for span in self.spans
@@ -82,7 +81,7 @@
 
 
 def breaches(facts: Facts) -> dict[str, list[str]]:
-    """Return what was broken, by check; empty lists if all was kept."""
+    """Describe violations by check, without the checks that passed."""
     found = {
         "answers": _wrong_answers(facts),
         "repeated runs": _repeated_runs(facts),
@@ -116,7 +115,7 @@
         if call.headers.get("x-server-seal") != SEAL:
             found.append(f"{call.request_id}: success without an upstream")
         elif call.headers.get("x-attempt-id") != call.request_id:
-            found.append(f"{call.request_id}: answer to another request")
+            found.append(f"{call.request_id}: response to another request")
         elif is_stream and numbers != whole[: len(numbers)]:
             found.append(f"{call.request_id}: events {numbers!r}")
         elif is_stream and call.is_complete and numbers != whole:
@@ -218,10 +217,10 @@
 
 
 def _cut_by_shutdown(facts: Facts) -> list[str]:
-    """Return requests that a graceful shutdown has cut.
+    """Describe requests that a graceful shutdown aborted.
 
-    A request that crosses the close of its connection was not read; its caller
-    may send it again.
+    A request sent while the router closed the connection may not have been read
+    and does not count; its caller can retry it.
     """
     passed_on = {
         received.value_by_header.get("x-attempt-id")
--- a/packages/standins/src/lacewingspar_standins/bench/soak_fleet.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_fleet.py
@@ -1,4 +1,4 @@
-"""Deployment of the fault soak: routers as processes behind faulty links."""
+"""Deployment of the fault soak: router processes behind faulty links."""
 
 import asyncio
 import itertools
@@ -34,11 +34,11 @@
 EVENT_SECONDS = 0.01
 STOP_GRACE_SECONDS = 4.0
 HEARTBEAT_SECONDS = 0.4
-# An upstream without a heartbeat for this long is taken off the list.
+# The entry of an upstream is removed after this long without a heartbeat.
 LAPSE_SECONDS = 3 * HEARTBEAT_SECONDS
 READY_SECONDS = 30.0
 HISTORY_RECORDS = 400
-# Longer than the deadlines of all callers.
+# Exceeds the deadlines of all callers.
 ROUTE_LIMIT_MS = 5000
 
 
@@ -51,11 +51,11 @@
         link_by_name: Links: `store/ROUTER`, `peer/ROUTER`, `upstream/ID`.
         plan_by_id: Names and addresses of the routers.
         router_by_id: The latest process of each router.
-        draining: Upstreams that announce that they leave.
+        draining: Upstreams that announce the state `draining`.
 
     Args:
         fleet: Owner of the processes.
-        stack: Ends everything else.
+        stack: Stops the store, the upstreams and the links.
         routers: Number of routers.
     """
 
@@ -104,7 +104,7 @@
             await self.async_wait_ready(router_id)
 
     async def async_start_router(self, router_id: str) -> None:
-        """Start a router, or start it again after its end."""
+        """Start a router, or restart it after it has ended."""
         plan = self.plan_by_id[router_id]
         store = self._address_by_link[f"store/{router_id}"]
         seeds = [
@@ -135,7 +135,7 @@
         """Wait until a router is ready.
 
         Raises:
-            FleetError: It has ended, or is not ready in time.
+            FleetError: The router ended or was not ready in time.
         """
         await self.router_by_id[router_id].wait_ready(
             self.plan_by_id[router_id].admin_address, READY_SECONDS, "/readyz"
@@ -167,7 +167,7 @@
         )
 
     async def async_crash_upstream(self, name: str, seconds: float) -> None:
-        """Let an upstream crash and come back."""
+        """Crash an upstream and restart it."""
         upstream = self.upstream_by_id[name]
         _, _, port = upstream.address.rpartition(":")
         self._down.add(name)
@@ -183,7 +183,7 @@
         self.beat(name)
 
     def publish(self, number: int) -> None:
-        """Publish a configuration with one of the paths that flip."""
+        """Publish a configuration with one of the flip routes."""
         data = msgspec.json.encode(_configuration(next(self._version), number))
         self.store.topic("keyed.op").append("config", data)
 
--- a/packages/standins/src/lacewingspar_standins/bench/stamps.py
+++ b/packages/standins/src/lacewingspar_standins/bench/stamps.py
@@ -1,8 +1,7 @@
-"""Times that the engine of a benchmark puts into its answers.
+"""Timestamps that a benchmark's engine adds to its responses.
 
-Client and engine run on one machine and share its monotonic clock. The times
-separate the way through a router from the time in the engine, whose steps
-would hide it.
+Client and engine share the machine's monotonic clock. The timestamps separate
+the transit time through a router from the much longer time in the engine.
 """
 
 import re
@@ -17,10 +16,10 @@
 
 
 class StampedApp:
-    """Adds times to the answers of an ASGI application.
+    """Adds timestamps to the responses of an ASGI application.
 
-    A whole answer carries them as headers. Each part of an event stream begins
-    with a comment line that has the time at which it was sent.
+    They are sent as headers. In event streams, each chunk also begins with a
+    comment line that contains its send time.
 
     Args:
         app: The application.
@@ -32,7 +31,7 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Answer a request."""
+        """Handle a request and stamp its response."""
         arrived_ns = time.monotonic_ns()
         is_event_stream = False
 
@@ -56,7 +55,7 @@
 
 
 def event_stamps(part: bytes) -> list[int]:
-    """Return the times in a part of an event stream."""
+    """Return the timestamps in a chunk of an event stream."""
     return [int(text) for text in _EVENT_STAMP.findall(part)]
 
 
--- a/packages/standins/src/lacewingspar_standins/bench/synthetic_peers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/synthetic_peers.py
@@ -1,4 +1,4 @@
-"""A process that plays many routers towards one real router."""
+"""Process that simulates the peers of one real router."""
 
 import asyncio
 import heapq
@@ -30,12 +30,12 @@
 
 
 class SyntheticPeer(msgspec.Struct, frozen=True):
-    """A router that the process plays.
+    """A simulated router.
 
     Attributes:
-        router_id: Its name.
-        data_centre: Its data centre.
-        address: Its peer address as `host:port`.
+        router_id: Router id.
+        data_centre: Data centre.
+        address: Peer address as `host:port`.
     """
 
     router_id: str
@@ -48,8 +48,8 @@
 
     Attributes:
         target: The real router.
-        peers: The routers to play.
-        seed: Seed of phases and receivers.
+        peers: The routers to simulate.
+        seed: Seed of the heartbeat receivers.
     """
 
     target: SyntheticPeer
@@ -58,7 +58,7 @@
 
 
 class SyntheticPeers:
-    """Member tables of all played routers and their sockets."""
+    """Member tables and sockets of all simulated routers."""
 
     def __init__(self, options: SyntheticPeersOptions) -> None:
         self._target_id = options.target.router_id
--- a/packages/standins/src/lacewingspar_standins/demo/__main__.py
+++ b/packages/standins/src/lacewingspar_standins/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the demo with `python -m lacewingspar_standins.demo`."""
+"""Entry point for `python -m lacewingspar_standins.demo`."""
 
 from lacewingspar_standins.demo.main import run
 
--- a/packages/standins/src/lacewingspar_standins/demo/main.py
+++ b/packages/standins/src/lacewingspar_standins/demo/main.py
@@ -41,15 +41,15 @@
 EXIT_FAILED = 1
 EXIT_INTERRUPTED = 130
 DEFAULT_SECONDS = 20.0
-# The load goes on after both failures, so that their effect shows.
+# The load continues after both failures, so that their effect is visible.
 KILL_AT_SHARE = 0.4
 TERMINATE_AT_SHARE = 0.6
 KILLED_UPSTREAM = "west-engine-2"
 TERMINATED_ROUTER = "east-router-2"
 MAX_REQUESTS = 100_000
 
-# More clients than slots by weight, so that all workspaces are backlogged. The
-# flood has more clients than its queues admit.
+# Each workspace has more clients than its weighted share of slots and stays
+# backlogged. `flood` has more clients than its queues admit.
 CLIENTS_BY_WORKSPACE = {"flood": 120, "north": 24, "south": 16}
 WORKSPACES = (
     workspace_entry("flood", weight=1.0, queue_limit=15),
@@ -70,7 +70,7 @@
     ] = False,
     seed: Annotated[int, typer.Option(help="Seed of the load.")] = 1,
 ) -> None:
-    """Run a small fleet under load, stop an upstream and a router."""
+    """Run a small fleet under load and stop an upstream and a router."""
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             code = runner.run(run_demo(seconds, seed, keep=keep))
@@ -216,7 +216,7 @@
         f"-H 'Authorization: Bearer {token}' "
         f"-H 'Content-Type: application/json' -d '{body}'"
     )
-    typer.echo("Ctrl-C ends the fleet")
+    typer.echo("Press Ctrl-C to stop the fleet")
     try:
         await asyncio.Event().wait()
     except asyncio.CancelledError:
@@ -226,7 +226,7 @@
 
 
 def _cancel_on_signals() -> None:
-    """Cancel the demo on SIGINT and SIGTERM, so that it cleans up."""
+    """Cancel the demo on SIGINT and SIGTERM so that it cleans up."""
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
--- a/packages/standins/src/lacewingspar_standins/demo/samples.py
+++ b/packages/standins/src/lacewingspar_standins/demo/samples.py
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True)
 class Sample:
-    """State of the fleet at one time.
+    """State of the fleet at one moment.
 
     Attributes:
         at: Monotonic clock in seconds.
         served: Served slot-seconds by service and workspace, over all routers.
         waiting: Waiting requests by service and workspace.
         slots: Slots of the running upstreams by service.
-        used: Those in use by service, as the upstreams report.
+        used: Slots in use by service, as reported by the upstreams.
         sent_bytes: Control bytes that each router has sent.
     """
 
@@ -46,8 +46,9 @@
         small_fleet: The fleet.
 
     Attributes:
-        samples: What was read.
-        ready_addresses: Routers that were ready when last asked.
+        samples: Samples read so far.
+        ready_addresses: Caller addresses of the ready routers, or the last
+            ones if none is ready.
     """
 
     def __init__(self, small_fleet: SmallFleet) -> None:
@@ -66,7 +67,7 @@
                 await asyncio.sleep(SAMPLE_SECONDS)
 
     async def _watch_ready(self) -> None:
-        """Follow which routers are ready, as the platform's balancer does."""
+        """Poll which routers are ready, like the platform's balancer."""
         plans = self._small_fleet.plans.values()
         while True:
             ready = await asyncio.gather(*(self._is_ready(p) for p in plans))
@@ -75,7 +76,8 @@
                 for plan, is_ready in zip(plans, ready, strict=True)
                 if is_ready
             ]
-            # Without any ready router, requests still get a definite answer.
+            # Without a ready router, keep the last addresses, so that requests
+            # still get a response or a connection error.
             self.ready_addresses = addresses or self.ready_addresses
             await asyncio.sleep(READY_SECONDS)
 
@@ -105,7 +107,7 @@
         metrics = await self._get(f"{base}/metrics")
         if accounts is None or status is None or metrics is None:
             return
-        # The accounts of a router that has ended count on.
+        # Kept after the router ends, because its accounts still count.
         self._accounts_by_router[router_id] = accounts.json()["accounts"]
         for service, state in status.json()["scheduler"].items():
             waiting = sample.waiting.setdefault(service, Counter())
@@ -113,7 +115,7 @@
         for line in metrics.text.splitlines():
             name, _, value = line.rpartition(" ")
             if name.partition("{")[0] == SENT_BYTES_METRIC:
-                # There is one line for each type of message.
+                # Sums the lines of all message types.
                 known = sample.sent_bytes.get(router_id, 0)
                 sample.sent_bytes[router_id] = known + int(float(value))
 
@@ -139,13 +141,12 @@
 def fairness_gap(
     samples: list[Sample], service: str, weights: dict[str, float]
 ) -> float | None:
-    """Return the largest difference of service by weight between workspaces.
+    """Return the largest difference in weighted service of two workspaces.
 
-    It counts the service that two workspaces received while both had waiting
-    requests without a break.
+    Only periods in which both workspaces always had waiting requests count.
 
     Returns:
-        The gap in slot-seconds by weight, or None if no two workspaces were
+        The gap in weighted slot-seconds, or None if no two workspaces were
         backlogged together.
     """
     gap: float | None = None
@@ -165,7 +166,7 @@
 
 
 def utilisation(samples: list[Sample], service: str) -> float | None:
-    """Return the share of slots in use while work waited, or None."""
+    """Return the fraction of slots in use while work waited, or None."""
     used = slots = 0
     for before, sample in itertools.pairwise(samples):
         is_backlogged = all(
@@ -197,7 +198,7 @@
 def _backlogged_periods(
     samples: list[Sample], service: str, pair: tuple[str, str]
 ) -> list[list[Sample]]:
-    """Return runs of samples in which both workspaces had a backlog."""
+    """Return runs of samples in which both workspaces were backlogged."""
     periods: list[list[Sample]] = [[]]
     for sample in samples:
         waiting = sample.waiting.get(service, Counter())
--- a/packages/standins/src/lacewingspar_standins/demo/small_fleet.py
+++ b/packages/standins/src/lacewingspar_standins/demo/small_fleet.py
@@ -1,4 +1,4 @@
-"""Two data centres with two routers each, stand-ins and documents."""
+"""Fleet of the demo: two data centres with routers and stand-ins."""
 
 from dataclasses import dataclass, field
 
@@ -49,7 +49,7 @@
 
     Attributes:
         fleet: Harness that owns the processes.
-        options: Size.
+        options: Size of the fleet.
         plans: Routers by id.
         routers: Router processes by id.
         upstreams: Stand-ins by (service, upstream id).
@@ -67,7 +67,7 @@
 
     @property
     def caller_addresses(self) -> tuple[str, ...]:
-        """Return the addresses of all routers for callers."""
+        """Return the caller addresses of all routers."""
         return tuple(plan.caller_address for plan in self.plans.values())
 
     def upstreams_of(self, service: str) -> dict[str, StandInProcess]:
@@ -85,7 +85,7 @@
         return self.options.plain_slots
 
     async def start(self) -> None:
-        """Start all processes, publish both documents, wait until ready."""
+        """Start all processes, publish the documents and wait until ready."""
         await self._start_upstreams()
         log = await self.fleet.start_standin("log", name="log")
         vms = await self.fleet.start_standin("vms", name="vms")
@@ -104,7 +104,7 @@
             await self._wait_ready(router_id)
 
     async def add_router(self, router_id: str, data_centre: str) -> None:
-        """Start one more router and wait until it is ready."""
+        """Start an additional router and wait until it is ready."""
         self.plans[router_id] = self.fleet.plan_router(router_id, data_centre)
         await self._start_router(router_id)
         await self._wait_ready(router_id)
--- a/packages/standins/src/lacewingspar_standins/demo/summary.py
+++ b/packages/standins/src/lacewingspar_standins/demo/summary.py
@@ -32,7 +32,7 @@
 
 
 def check_lines(checks: list[Check]) -> list[str]:
-    """Return the lines about what must hold."""
+    """Return the lines about the checks."""
     lines = ["Checks"]
     for check in checks:
         state = "FAILED" if check.failures else "ok"
--- a/packages/standins/src/lacewingspar_standins/demo/verdict.py
+++ b/packages/standins/src/lacewingspar_standins/demo/verdict.py
@@ -1,4 +1,4 @@
-"""Checks of what must hold in the demo."""
+"""Checks of the fleet's guarantees in the demo."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -18,17 +18,17 @@
 from lacewingspar_standins.process import RouterProcess
 
 CUT_LOG_LINE = b"request cut by shutdown"
-# What a caller sees when a router ends before it has answered.
+# Outcomes for the caller when a router ends before its response does.
 CUT_OUTCOMES = (OUTCOME_BROKEN, "no_answer")
 
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """Something that must hold.
+    """Result of checking a guarantee.
 
     Attributes:
-        name: What must hold.
-        failures: What was seen instead; empty if it holds.
+        name: The guarantee.
+        failures: Descriptions of violations; empty if it holds.
     """
 
     name: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Runs:
-    """Runs that the upstreams counted.
+    """Run counts of the upstreams.
 
     Attributes:
         by_key: Runs of keyed calls by key.
@@ -49,7 +49,7 @@
 
 
 async def read_runs(small_fleet: SmallFleet) -> Runs:
-    """Read the runs from the upstreams that still run."""
+    """Read the run counts of the running upstreams."""
     runs = Runs(Counter(), Counter())
     for standin in small_fleet.upstreams_of(SERVICE_PLAIN).values():
         counted: dict[str, Any] = await standin.get("/_runs")
@@ -63,11 +63,11 @@
 
 
 def check_answers(result: LoadResult) -> Check:
-    """Check that no answer was mixed up or wrongly looked complete."""
+    """Check that every response is complete and matches its request."""
     failures = result.problems
     wrong = result.count(OUTCOME_WRONG_ANSWER)
     if wrong and not failures:
-        failures = (f"{wrong} wrong answers",)
+        failures = (f"{wrong} wrong responses",)
     return Check("answers are whole and belong to their requests", failures)
 
 
@@ -78,10 +78,10 @@
         for key, count in runs.by_key.items()
         if count > 1
     ]
-    # Routers put the workspace before the key.
+    # Routers prefix the key with the workspace.
     run_keys = {key.partition("/")[2] for key in runs.by_key}
     failures += [
-        f"key {key} was answered but did not run"
+        f"key {key} got a response but did not run"
         for key in result.answered_keys
         if key not in run_keys
     ]
@@ -89,7 +89,7 @@
 
 
 def check_not_run(result: LoadResult, runs: Runs) -> Check:
-    """Check that no request that was reported as not run has run."""
+    """Check that no request reported as not run has run."""
     failures = [
         f"request {request_id} ran"
         for request_id in result.not_run_request_ids
@@ -99,9 +99,9 @@
 
 
 def check_served(result: LoadResult) -> Check:
-    """Check that every workspace got answers."""
+    """Check that every workspace got responses."""
     failures = [
-        f"workspace {name} got no answer"
+        f"workspace {name} got no successful response"
         for name, of_workspace in result.by_workspace.items()
         if not of_workspace.finals_by_outcome.get(OUTCOME_OK)
     ]
@@ -111,12 +111,12 @@
 def check_shutdown(
     result: LoadResult, router: RouterProcess, address: str
 ) -> Check:
-    """Check that a router that was terminated ended without cutting.
+    """Check that a terminated router aborted no requests.
 
     Args:
         result: Result of the load.
         router: The router, after its end.
-        address: Its address for callers.
+        address: Caller address of the router.
     """
     failures: list[str] = []
     status = router.process.returncode
@@ -124,7 +124,7 @@
         failures.append(f"{router.name} has exit status {status}")
     cut_lines = router.log_file.read_bytes().count(CUT_LOG_LINE)
     if cut_lines:
-        failures.append(f"{router.name} logged {cut_lines} cut requests")
+        failures.append(f"{router.name} logged {cut_lines} aborted requests")
     attempts = result.attempts_by_address.get(address, {})
     failures += [
         f"{attempts[outcome]} attempts at {router.name} ended as {outcome}"
--- a/tests/e2e/conftest.py
+++ b/tests/e2e/conftest.py
@@ -1,4 +1,4 @@
-"""Small fleets of real processes."""
+"""Fixtures with small fleets of real processes."""
 
 import contextlib
 from collections.abc import AsyncIterator, Callable
@@ -30,13 +30,13 @@
     delay_ms=0.0,
 )
 WORKSPACE = "ws"
-# Ends a test that waits for a state which never comes.
+# Limit for waiting until a condition holds.
 LIMIT_SECONDS = 15.0
 
 
 @dataclass(frozen=True)
 class Caller:
-    """A caller of one router after the other."""
+    """HTTP client that sends each request to a chosen router."""
 
     deployment: Deployment
     client: httpx.AsyncClient
@@ -73,7 +73,7 @@
 
 @pytest.fixture
 def caller(tmp_path: Path) -> Callable[[], Any]:
-    """Return a context that runs the deployment."""
+    """Return an async context manager that runs the deployment."""
 
     @contextlib.asynccontextmanager
     async def run() -> AsyncIterator[Caller]:
@@ -88,7 +88,7 @@
         ):
             yield Caller(deployment, client)
             for router in deployment.routers.values():
-                # Nothing is left to drain, and a test may leave faults.
+                # Faults left by a test could block a graceful shutdown.
                 router.kill()
 
     return run
--- a/tests/e2e/test_failures.py
+++ b/tests/e2e/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of real processes."""
+"""Test failures of real processes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -25,7 +25,7 @@
 
 
 async def test_call_of_a_killed_router_never_runs_again(caller: Any) -> None:
-    """Guards against a second run after the first router has died."""
+    """Guards against a second run after the first router was killed."""
     async with caller() as fleet:
         first = asyncio.create_task(fleet.call(0, "k", work_ms=1000))
 
@@ -53,7 +53,7 @@
 
 
 async def test_log_outage_refuses_only_calls_with_a_key(caller: Any) -> None:
-    """Guards against wrong run states and idle engines without the log."""
+    """Guards against wrong run states and unused engines in a log outage."""
     async with caller() as fleet:
         await fleet.deployment.log.inject(outage=True)
         for router in range(3):
@@ -76,10 +76,11 @@
 
 
 async def test_lost_append_reply_leaves_one_run(caller: Any) -> None:
-    """Guards against a claim that is forgotten or made twice."""
+    """Guards against losing or duplicating a claim after a lost reply."""
     async with caller() as fleet:
         log = fleet.deployment.log
-        # The lost reply must be noticed before the claim is read back.
+        # Delays reads, so that the router notices the lost reply before it
+        # reads the claim back.
         await log.inject(lose_replies=2, read_delay_ms=300)
         first = await fleet.call(0, "k")
         assert first.status_code == 200
@@ -96,10 +97,10 @@
 
 
 async def test_configuration_reaches_all_and_survives(caller: Any) -> None:
-    """Guards against routers that miss or forget an accepted edit.
+    """Guards against routers that miss or lose an accepted edit.
 
-    One data centre cannot reach the platform, and one of its routers starts
-    again while the log is down everywhere.
+    One data centre cannot reach the platform, and one of its routers restarts
+    during a log outage.
     """
     async with caller() as fleet, admin_client(5.0) as client:
         deployment = fleet.deployment
--- a/tests/e2e/test_main_job.py
+++ b/tests/e2e/test_main_job.py
@@ -1,4 +1,4 @@
-"""Main job of the demo in a small form, with real processes."""
+"""Test the main flows of the demo with real processes."""
 
 import asyncio
 import json
@@ -42,7 +42,7 @@
 def check_stream(
     lines: list[str], marker: str, tokens: int, request_id: str
 ) -> None:
-    """Check that a stream is complete and that of its request."""
+    """Check that a stream is complete and belongs to its request."""
     data = [line.removeprefix("data: ") for line in lines if line]
     assert data[-1] == "[DONE]"
     events = [json.loads(item) for item in data[:-1]]
@@ -60,7 +60,7 @@
 async def test_streamed_chat_answer_is_whole(
     small_fleet: SmallFleet, http: httpx.AsyncClient
 ) -> None:
-    """Guards against streams that are cut, mixed up or not client-readable."""
+    """Guards against incomplete, mixed-up or malformed streams."""
     url = url_of(small_fleet, "east-router-1", "/v1/chat/completions")
     async with http.stream(
         "POST", url, json=chat("m1", 20), headers=HEADERS
@@ -75,7 +75,7 @@
 async def test_stock_chat_client_works_unchanged(
     small_fleet: SmallFleet, stream: bool
 ) -> None:
-    """Guards against answers that a common client library cannot read."""
+    """Guards against responses that a common client cannot parse."""
     base_url = url_of(small_fleet, "west-router-1", "/v1")
     async with openai.AsyncOpenAI(
         base_url=base_url, api_key=token_of("alpha"), max_retries=0
@@ -114,7 +114,7 @@
 async def test_keyed_call_repeated_at_another_router_runs_once(
     small_fleet: SmallFleet, http: httpx.AsyncClient
 ) -> None:
-    """Guards against a second run when a caller changes the router."""
+    """Guards against a second run when a caller switches routers."""
     headers = {**HEADERS, "idempotency-key": "order-1"}
     answers = []
     for router_id in ("east-router-1", "west-router-1"):
@@ -138,7 +138,7 @@
 async def test_mixed_load_is_answered_correctly(
     small_fleet: SmallFleet,
 ) -> None:
-    """Guards against duplicates, mixed-up answers and starved workspaces."""
+    """Guards against duplicates, mixed-up responses and starvation."""
     options = LoadOptions(
         addresses=small_fleet.caller_addresses,
         workspaces=tuple(
@@ -168,7 +168,7 @@
 async def test_terminated_router_finishes_its_stream(
     small_fleet: SmallFleet, http: httpx.AsyncClient
 ) -> None:
-    """Guards against a graceful shutdown that cuts a request in flight."""
+    """Guards against a graceful shutdown that aborts a stream."""
     router_id = "east-router-2"
     await small_fleet.add_router(router_id, "east")
     router = small_fleet.routers[router_id]
--- a/tests/e2e/test_poison.py
+++ b/tests/e2e/test_poison.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines, in a fleet of real processes."""
+"""Test a request that crashes engines in a fleet of real processes."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
     workspace_entry,
 )
 
-# A workspace for each caller, so that no retry budget is used up.
+# One workspace per caller, so that none exhausts its retry budget.
 CALLERS = [f"caller-{number}" for number in range(8)]
 REQUESTS_EACH = 6
 ATTACKS = 12
@@ -24,7 +24,7 @@
 
 
 async def start_fleet(fleet: Fleet) -> tuple[list[str], list[Any]]:
-    """Return the addresses of the routers, and the engines."""
+    """Start a fleet and return the router addresses and the engines."""
     log = await fleet.start_standin("log")
     vms = await fleet.start_standin("vms", lag_ms=0)
     options = {"model": ["m"], "step_ms": 5, "faults": {"crash_marker": "boom"}}
@@ -53,16 +53,16 @@
 async def chat(
     client: httpx.AsyncClient, address: str, name: str, text: str, **more: Any
 ) -> tuple[httpx.Response, str]:
-    """Return an answer and its body as far as it has arrived."""
+    """Return a response and the part of its body that was received."""
     messages = [{"role": "user", "content": text}]
     body = {"model": "m", "messages": messages, "max_tokens": 20, **more}
-    # The attack ends soon if all engines are lost.
+    # Limits the time of the attack when all engines are lost.
     headers = {"x-deadline-ms": "5000"} if name == "evil" else {}
     headers["authorization"] = f"Bearer {token_of(name)}"
     received = ""
     url = f"http://{address}/v1/chat/completions"
     async with client.stream("POST", url, json=body, headers=headers) as answer:
-        # The transfer of an interrupted stream has no end.
+        # An interrupted stream has no terminating chunk.
         with contextlib.suppress(httpx.RemoteProtocolError):
             async for part in answer.aiter_text():
                 received += part
@@ -72,7 +72,7 @@
 async def test_crashing_request_costs_at_most_three_engines(
     tmp_path: Path,
 ) -> None:
-    """Guards against one caller who ends the pool from router to router."""
+    """Guards against losing the pool to one caller that switches routers."""
 
     async def call(name: str, is_stream: bool) -> None:
         for number in range(REQUESTS_EACH):
@@ -110,7 +110,7 @@
         lost = [engine.name for engine in engines if not engine.is_running]
 
     assert 1 <= len(lost) <= 3
-    # The last two come from the two routers.
+    # The last two refusals come from different routers.
     for answer, body in refusals[-2:]:
         assert answer.status_code == 422
         assert '"code":"quarantined","' in body
--- a/tests/e2e/test_soak.py
+++ b/tests/e2e/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak with short seeded runs."""
+"""Test short seeded runs of the fault soak."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 ROUNDS = 2
 
 
-# Seeds that have failed are kept here, each with its cause.
+# Add seeds that have failed, each with its cause.
 @pytest.mark.parametrize("seed", [1])
 async def test_soak_breaks_no_promise(seed: int) -> None:
     result = await async_soak(seed, ROUNDS, ROUTERS)
