--- a/packages/standins/src/lacewingspar_standins/bench/bare_proxy.py
+++ b/packages/standins/src/lacewingspar_standins/bench/bare_proxy.py
@@ -39,7 +39,7 @@
         request = httpx.Request(
             scope["method"],
             self._url.copy_with(raw_path=scope["raw_path"]),
-            headers=_passed_on(scope["headers"]),
+            headers=_filter_headers(scope["headers"]),
             stream=httpx.ByteStream(body),
             extensions={"timeout": _TIMEOUTS},
         )
@@ -49,12 +49,12 @@
                 {
                     "type": "http.response.start",
                     "status": response.status_code,
-                    "headers": _passed_on(response.headers.raw),
+                    "headers": _filter_headers(response.headers.raw),
                 }
             )
             async for part in response.aiter_raw():
-                await send(_part(part, more=True))
-            await send(_part(b"", more=False))
+                await send(_body_message(part, more=True))
+            await send(_body_message(b"", more=False))
         finally:
             await response.aclose()
 
@@ -67,11 +67,11 @@
     )
 
 
-def _part(data: bytes, *, more: bool) -> dict[str, Any]:
+def _body_message(data: bytes, *, more: bool) -> dict[str, Any]:
     return {"type": "http.response.body", "body": data, "more_body": more}
 
 
-def _passed_on(headers: Any) -> list[tuple[bytes, bytes]]:
+def _filter_headers(headers: Any) -> list[tuple[bytes, bytes]]:
     return [
         (name, value)
         for name, value in headers
--- a/packages/standins/src/lacewingspar_standins/bench/capacity.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity.py
@@ -59,7 +59,7 @@
         "ingress routers with 70 backlogged workspaces",
         (10, 20, 40, 78),
         78,
-        core=capacity_core.measure_holders,
+        core=capacity_core.measure_ingress_routers,
     ),
     "ownership": Factor(
         "routers",
--- a/packages/standins/src/lacewingspar_standins/bench/capacity_core.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity_core.py
@@ -60,12 +60,12 @@
 # Upstreams of one service: 1,800 runners share 6 models.
 SERVICE_UPSTREAMS = 300
 SERVICE = "chat"
-_LIFE = RouterInstance("router-dc-1-000", 1 << 52)
-_HOLDER = RouterInstance("router-dc-1-001", 1 << 52)
+_OWNER_INSTANCE = RouterInstance("router-dc-1-000", 1 << 52)
+_INGRESS_INSTANCE = RouterInstance("router-dc-1-001", 1 << 52)
 _GRANTS = 400
 # Backlogged workspaces of one of 6 services.
 _SERVICE_BACKLOGGED = 70
-_HOLDER_ROUNDS = 3
+_DEMAND_ROUNDS = 3
 _TICKS = 20
 _GOSSIP_SECONDS = 40.0
 _FAILURE_SECONDS = 30.0
@@ -92,14 +92,14 @@
 
 def measure_backlog(workspaces: int, _seed: int) -> dict[str, float]:
     """Return the cost of an owner for a number of backlogged workspaces."""
-    owner = SlotOwner(SERVICE, _LIFE, "dc-1")
+    owner = SlotOwner(SERVICE, _OWNER_INSTANCE, "dc-1")
     owner.handle(_owned_upstreams(workspaces), 0.0)
     now = 1.0
     names = [f"ws-{index:04}" for index in range(workspaces)]
     entries = tuple(DemandEntry(name, "m", 50, 1.0, 1.0) for name in names)
     demand = Demand(SERVICE, 1, True, entries)
     before = time.process_time()
-    sends = owner.handle(MessageReceived(_HOLDER, demand), now)
+    sends = owner.handle(MessageReceived(_INGRESS_INSTANCE, demand), now)
     demand_ms = (time.process_time() - before) * 1000
     before = time.process_time()
     grants = 0
@@ -108,7 +108,7 @@
         offer = send.message
         now += 0.01
         accepted = OfferAccepted(SERVICE, offer.slot, 1.0)
-        sends += owner.handle(MessageReceived(_HOLDER, accepted), now)
+        sends += owner.handle(MessageReceived(_INGRESS_INSTANCE, accepted), now)
         released = SlotReleased(
             SERVICE,
             offer.slot,
@@ -119,7 +119,7 @@
             100,
             SlotOutcome.COMPLETED,
         )
-        sends += owner.handle(MessageReceived(_HOLDER, released), now)
+        sends += owner.handle(MessageReceived(_INGRESS_INSTANCE, released), now)
         grants += 1
     grant_ms = (time.process_time() - before) * 1000 / max(1, grants)
     before = time.process_time()
@@ -135,25 +135,27 @@
     }
 
 
-def measure_holders(holders: int, _seed: int) -> dict[str, float]:
+def measure_ingress_routers(
+    ingress_routers: int, _seed: int
+) -> dict[str, float]:
     """Return the cost of an owner for ingress routers with full queues."""
-    owner = SlotOwner(SERVICE, _LIFE, "dc-1")
+    owner = SlotOwner(SERVICE, _OWNER_INSTANCE, "dc-1")
     owner.handle(_owned_upstreams(_SERVICE_BACKLOGGED), 0.0)
     entries = tuple(
         DemandEntry(f"ws-{index:04}", "m", 50, 1.0, 1.0)
         for index in range(_SERVICE_BACKLOGGED)
     )
     events = []
-    for sequence in range(_HOLDER_ROUNDS):
+    for sequence in range(_DEMAND_ROUNDS):
         demand = Demand(SERVICE, sequence, True, entries)
         events += [
             MessageReceived(RouterInstance(f"router-{index:03}", 1), demand)
-            for index in range(holders)
+            for index in range(ingress_routers)
         ]
-    for event in events[:holders]:
+    for event in events[:ingress_routers]:
         owner.handle(event, 0.5)
     before = time.process_time()
-    for event in events[holders:]:
+    for event in events[ingress_routers:]:
         owner.handle(event, 0.6)
     demand_ms = (time.process_time() - before) * 1000
     before = time.process_time()
@@ -161,7 +163,7 @@
         owner.handle(TimePassed(), 0.7)
     tick_ms = (time.process_time() - before) * 1000
     return {
-        "demand message ms": demand_ms / (len(events) - holders),
+        "demand message ms": demand_ms / (len(events) - ingress_routers),
         "tick ms": tick_ms / _TICKS,
     }
 
@@ -217,7 +219,7 @@
     records: list[bytes] = []
     for index in range(claims):
         key = claim_key(SERVICE, f"ws-{index % 420}", str(index))
-        records.append(encode_record(Claim(key, key, _LIFE, index)))
+        records.append(encode_record(Claim(key, key, _OWNER_INSTANCE, index)))
         outcome = Outcome(2 * index, 200, "application/json", body)
         records.append(encode_record(outcome))
     tracemalloc.start()
--- a/packages/standins/src/lacewingspar_standins/bench/capacity_routers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity_routers.py
@@ -33,7 +33,7 @@
 from lacewingspar_standins.process import RouterProcess, StandInProcess
 
 DATA_CENTRES = 5
-SEEDS = 5
+SEED_HOSTS = 5
 # Routers of the data centre that share its upstreams.
 SHARING_ROUTERS = 20
 READY_SECONDS = 60.0
@@ -83,8 +83,8 @@
     ) -> None:
         """Start the process that simulates the other routers."""
         options = SyntheticPeersOptions(
-            target=_synthetic(self.plan),
-            peers=tuple(_synthetic(peer) for peer in peers),
+            target=_synthetic_peer(self.plan),
+            peers=tuple(_synthetic_peer(peer) for peer in peers),
             seed=seed,
         )
         options_file = self.fleet.folder / "peers.json"
@@ -132,7 +132,7 @@
     """Return the cost of a router for a number of peers."""
     async with _rig() as rig:
         peers = rig.plan_peers(routers, DATA_CENTRES)
-        await rig.start(peers[:SEEDS])
+        await rig.start(peers[:SEED_HOSTS])
         await rig.start_peers(peers, seed)
         return await rig.figures(seconds)
 
@@ -157,7 +157,7 @@
         standin = await rig.fleet.start_standin("plain", name="plain", slots=64)
         document = _document(upstreams)
         peers = rig.plan_peers(SHARING_ROUTERS, data_centres=1)
-        await rig.start(peers[:SEEDS], _address_map(document, standin))
+        await rig.start(peers[:SEED_HOSTS], _address_map(document, standin))
         await rig.start_peers(peers, seed)
         await rig.fleet.publish(rig.plan.admin_address, document)
         return await rig.figures(seconds)
@@ -222,7 +222,7 @@
     return float(text.split("rchar:")[1].split()[0])
 
 
-def _synthetic(plan: RouterPlan) -> SyntheticPeer:
+def _synthetic_peer(plan: RouterPlan) -> SyntheticPeer:
     return SyntheticPeer(plan.router_id, plan.data_centre, plan.peer_address)
 
 
--- a/packages/standins/src/lacewingspar_standins/bench/deployment.py
+++ b/packages/standins/src/lacewingspar_standins/bench/deployment.py
@@ -245,7 +245,7 @@
 
 
 @contextlib.asynccontextmanager
-async def balanced(
+async def deployed_baseline(
     shape: Shape, *, step_ms: float
 ) -> AsyncIterator[Deployment]:
     """Run a deployment with baseline balancers instead of routers.
--- a/packages/standins/src/lacewingspar_standins/bench/fault_actions.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_actions.py
@@ -19,13 +19,13 @@
 from lacewingspar_standins.fleet_settings import RouterPlan
 from lacewingspar_standins.process import StandInProcess
 
-LEAVING_TARGET_SECONDS = 3.0
-LOG_SLOW_MS = 400.0
+LEAVING_GRACE_SECONDS = 3.0
+SLOW_LOG_DELAY_MS = 400.0
 LOST_REPLIES_PERIOD_SECONDS = 0.3
 EDITS_PERIOD_SECONDS = 1.0
 # Exceeds the longest request of the load, including retries.
 SHUTDOWN_LIMIT_SECONDS = 90.0
-LOG_LINE_OF_CUT = "request cut by shutdown"
+ABORT_LOG_EVENT = "request cut by shutdown"
 POLL_SECONDS = 0.05
 
 
@@ -45,26 +45,26 @@
 
 
 @dataclass(slots=True)
-class Observed:
+class FaultObservations:
     """Violations and shutdowns seen while injecting faults.
 
     Attributes:
         cut_requests: Requests aborted by a graceful shutdown, and failed
             shutdowns.
-        late_work: Requests sent to a leaving upstream after the time limit.
+        late_requests: Requests sent to a leaving upstream after the time limit.
         both_accepted: Pairs of conflicting edits that were both accepted.
         edits: All edits.
         shutdowns: Graceful shutdowns.
     """
 
     cut_requests: list[str] = field(default_factory=list)
-    late_work: list[str] = field(default_factory=list)
+    late_requests: list[str] = field(default_factory=list)
     both_accepted: list[str] = field(default_factory=list)
     edits: list[Edit] = field(default_factory=list)
     shutdowns: list[GracefulShutdown] = field(default_factory=list)
 
 
-class FaultActions:
+class FaultInjector:
     """Injects faults and records what they reveal.
 
     Args:
@@ -73,9 +73,9 @@
     """
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        self.observed = Observed()
+        self.observed = FaultObservations()
         self._deployment = deployment
-        self._draw = random.Random(f"edits/{seed}")
+        self._generator = random.Random(f"edits/{seed}")
         self._plan_by_router = {p.router_id: p for p in deployment.plans}
         self._leaving: set[str] = set()
         self._action_by_kind: dict[
@@ -131,7 +131,9 @@
 
     async def _router_terminated(self, fault: PlannedFault) -> None:
         router = self._deployment.routers[fault.target]
-        lines_before = _cut_lines(router.log_file.read_text(errors="replace"))
+        lines_before = _find_abort_lines(
+            router.log_file.read_text(errors="replace")
+        )
         began_at = time.time()
         router.terminate()
         try:
@@ -144,7 +146,7 @@
         self.observed.shutdowns.append(
             GracefulShutdown(address, began_at, time.time())
         )
-        lines = _cut_lines(router.log_file.read_text(errors="replace"))
+        lines = _find_abort_lines(router.log_file.read_text(errors="replace"))
         self.observed.cut_requests += lines[len(lines_before) :]
         if status != 0:
             self.observed.cut_requests.append(f"{fault}: exit status {status}")
@@ -181,7 +183,9 @@
 
     async def _log_slow(self, fault: PlannedFault) -> None:
         log = self._deployment.log
-        await log.inject(delay_ms=LOG_SLOW_MS, reply_delay_ms=LOG_SLOW_MS)
+        await log.inject(
+            delay_ms=SLOW_LOG_DELAY_MS, reply_delay_ms=SLOW_LOG_DELAY_MS
+        )
         try:
             await asyncio.sleep(fault.seconds)
         finally:
@@ -209,24 +213,24 @@
         await self.async_list_vms()
         try:
             await self._async_wait_listed(fault.target)
-            await asyncio.sleep(LEAVING_TARGET_SECONDS)
-            before = await _async_arrived(upstream)
+            await asyncio.sleep(LEAVING_GRACE_SECONDS)
+            before = await _async_count_received(upstream)
             await asyncio.sleep(fault.seconds)
-            after = await _async_arrived(upstream)
+            after = await _async_count_received(upstream)
         finally:
             self._leaving.discard(fault.target)
             await self.async_list_vms()
         if after > before:
-            self.observed.late_work.append(
+            self.observed.late_requests.append(
                 f"{fault}: {after - before} requests later than "
-                f"{LEAVING_TARGET_SECONDS:.0f} s"
+                f"{LEAVING_GRACE_SECONDS:.0f} s"
             )
 
     async def _async_wait_listed(self, name: str) -> None:
         """Wait until the VM list shows that a VM is leaving."""
         while True:
-            answer = await self._deployment.vms.get("/vms")
-            vms = msgspec.convert(answer, VmList).vms
+            response = await self._deployment.vms.get("/vms")
+            vms = msgspec.convert(response, VmList).vms
             if any(v.name == name and v.state is VmState.LEAVING for v in vms):
                 return
             await asyncio.sleep(POLL_SECONDS)
@@ -234,7 +238,9 @@
     async def _conflicting_edits(self, fault: PlannedFault) -> None:
         ends_at = time.monotonic() + fault.seconds
         while time.monotonic() < ends_at:
-            edits = await async_conflicting_edits(self._deployment, self._draw)
+            edits = await async_conflicting_edits(
+                self._deployment, self._generator
+            )
             accepted = [e for e in edits if e.status == STATUS_ACCEPTED]
             if len(accepted) > 1:
                 self.observed.both_accepted.append(str(accepted))
@@ -242,11 +248,11 @@
             await asyncio.sleep(EDITS_PERIOD_SECONDS)
 
 
-def _cut_lines(text: str) -> list[str]:
-    return [line for line in text.splitlines() if LOG_LINE_OF_CUT in line]
+def _find_abort_lines(text: str) -> list[str]:
+    return [line for line in text.splitlines() if ABORT_LOG_EVENT in line]
 
 
-async def _async_arrived(upstream: StandInProcess) -> int:
+async def _async_count_received(upstream: StandInProcess) -> int:
     """Return the number of requests that an upstream has received."""
     path = "/stats" if upstream.name.startswith("engine") else "/_runs"
     return msgspec.convert((await upstream.get(path))["arrived"], int)
--- a/packages/standins/src/lacewingspar_standins/bench/fault_checks.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_checks.py
@@ -11,7 +11,7 @@
 from lacewingspar_standins.load_result import LoadResult
 
 # The load generator may see a closed connection after the process has ended.
-CLIENT_LAG_SECONDS = 0.2
+CLIENT_DETECTION_SECONDS = 0.2
 
 
 @dataclass(slots=True)
@@ -45,16 +45,16 @@
     plains = await asyncio.gather(
         *(plain.get("/_runs") for plain in deployment.plains.values())
     )
-    for answer in plains:
-        runs = msgspec.convert(answer, _Runs)
+    for response in plains:
+        runs = msgspec.convert(response, _Runs)
         total.by_key.update(runs.by_key)
         total.by_digest.update(runs.by_digest)
         total.by_request_id.update(runs.by_request_id)
     engines = await asyncio.gather(
         *(engine.get("/stats") for engine in deployment.engines.values())
     )
-    for answer in engines:
-        stats = msgspec.convert(answer, _Stats)
+    for response in engines:
+        stats = msgspec.convert(response, _Stats)
         total.by_request_id.update(stats.runs_by_request_id)
     return total
 
@@ -100,11 +100,11 @@
         if cut.address == shutdown.address
         and shutdown.began_at
         <= cut.at_seconds
-        <= shutdown.ended_at + CLIENT_LAG_SECONDS
+        <= shutdown.ended_at + CLIENT_DETECTION_SECONDS
     ]
 
 
-def answers_without_run(
+def responses_without_run(
     results: list[LoadResult], runs: UpstreamRuns
 ) -> list[str]:
     """Describe calls that got a response but never ran."""
--- a/packages/standins/src/lacewingspar_standins/bench/fault_edits.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_edits.py
@@ -37,19 +37,19 @@
     base = f"http://{plan.admin_address}"
     try:
         ready = await client.get(f"{base}/ready")
-        answer = await client.get(f"{base}/v1/services")
+        response = await client.get(f"{base}/v1/services")
     except httpx.HTTPError:
         return None
-    if ready.status_code != 200 or answer.status_code != 200:
+    if ready.status_code != 200 or response.status_code != 200:
         return None
     return {
         entry["service"]: entry["version"]
-        for entry in answer.json()["services"]
+        for entry in response.json()["services"]
     }
 
 
 @dataclass(slots=True)
-class VersionWatch:
+class VersionMonitor:
     """Tracks the document versions that routers report.
 
     Attributes:
@@ -83,10 +83,10 @@
             process = deployment.routers[plan.router_id]
             versions = await read_versions(client, plan)
             if process is deployment.routers[plan.router_id] and versions:
-                self.note(plan.router_id, process, versions)
+                self.record_versions(plan.router_id, process, versions)
             await asyncio.sleep(POLL_SECONDS)
 
-    def note(
+    def record_versions(
         self, router_id: str, process: RouterProcess, versions: dict[str, int]
     ) -> None:
         """Record a reading and report a version that decreased."""
@@ -94,9 +94,11 @@
         for service, version in versions.items():
             newest, seen_at = self._seen.get((router_id, service), (0, process))
             if version < newest:
-                life = "same life" if seen_at is process else "after restart"
+                restart_note = (
+                    "without restart" if seen_at is process else "after restart"
+                )
                 self.reverted.append(
-                    f"{router_id}: {service} from {newest} to {version}, {life}"
+                    f"{router_id}: {service} from {newest} to {version}, {restart_note}"
                 )
             if version >= newest:
                 self._seen[(router_id, service)] = (version, process)
@@ -118,10 +120,10 @@
 
 
 async def async_conflicting_edits(
-    deployment: Deployment, draw: random.Random
+    deployment: Deployment, generator: random.Random
 ) -> tuple[Edit, ...]:
     """Submit two edits of the same version to two routers concurrently."""
-    first, second = draw.sample(deployment.plans, 2)
+    first, second = generator.sample(deployment.plans, 2)
     async with admin_client(EDIT_TIMEOUT_SECONDS) as client:
         versions = await read_versions(client, first)
         if versions is None:
@@ -130,7 +132,7 @@
         return tuple(
             await asyncio.gather(
                 *(
-                    _async_edit(deployment, client, plan, base, draw)
+                    _async_edit(deployment, client, plan, base, generator)
                     for plan in (first, second)
                 )
             )
@@ -142,11 +144,11 @@
     client: httpx.AsyncClient,
     plan: RouterPlan,
     base_version: int,
-    draw: random.Random,
+    generator: random.Random,
 ) -> Edit:
     document = dump_document(deployment.documents[SERVICE_CHAT])
-    document["workspaces"][0]["queue_limit"] = draw.randrange(100, 1000)
-    edit_id = str(uuid.UUID(int=draw.getrandbits(128), version=4))
+    document["workspaces"][0]["queue_limit"] = generator.randrange(100, 1000)
+    edit_id = str(uuid.UUID(int=generator.getrandbits(128), version=4))
     body = {
         "edit_id": edit_id,
         "base_version": base_version,
@@ -155,10 +157,10 @@
     }
     url = f"http://{plan.admin_address}/v1/services/{SERVICE_CHAT}"
     with contextlib.suppress(httpx.HTTPError):
-        answer = await client.put(url, json=body)
-        if answer.status_code == STATUS_ACCEPTED:
-            return Edit(edit_id, STATUS_ACCEPTED, answer.json()["version"])
-        return Edit(edit_id, answer.status_code)
+        response = await client.put(url, json=body)
+        if response.status_code == STATUS_ACCEPTED:
+            return Edit(edit_id, STATUS_ACCEPTED, response.json()["version"])
+        return Edit(edit_id, response.status_code)
     return Edit(edit_id, 0)
 
 
@@ -166,10 +168,10 @@
     deployment: Deployment, edits: list[Edit]
 ) -> list[str]:
     """Describe accepted edits that are missing from the log."""
-    answer = await deployment.log.get(
+    response = await deployment.log.get(
         "/streams/configuration/records?limit=10000"
     )
-    reply = msgspec.convert(answer, ReadReply)
+    reply = msgspec.convert(response, ReadReply)
     data_by_offset = {record.offset: record.data for record in reply.records}
     return [
         f"edit {edit.edit_id} is not version {edit.version}"
--- a/packages/standins/src/lacewingspar_standins/bench/fault_plan.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_plan.py
@@ -7,10 +7,10 @@
 from lacewingspar_standins.bench.deployment import Shape
 
 # Slot leases expire after 5 s and claims may be sent for 10 s.
-SHORTEST_FREEZE_SECONDS = 6.0
-LONGEST_FREEZE_SECONDS = 12.0
-SHORTEST_SECONDS = 2.0
-LONGEST_SECONDS = 6.0
+MIN_FREEZE_SECONDS = 6.0
+MAX_FREEZE_SECONDS = 12.0
+MIN_FAULT_SECONDS = 2.0
+MAX_FAULT_SECONDS = 6.0
 
 
 class FaultKind(StrEnum):
@@ -82,40 +82,40 @@
     seed: int, rounds: int, shape: Shape, targets: Targets
 ) -> list[tuple[PlannedFault, ...]]:
     """Draw one or two faults for each round from the seed."""
-    draw = random.Random(f"faults/{seed}")
+    generator = random.Random(f"faults/{seed}")
     planned: list[tuple[PlannedFault, ...]] = []
     for _ in range(rounds):
         faults: list[PlannedFault] = []
-        count = draw.choice((1, 2))
+        count = generator.choice((1, 2))
         while len(faults) < count:
-            fault = _draw_fault(draw, shape, targets)
-            if not any(_excludes(fault, other) for other in faults):
+            fault = _draw_fault(generator, shape, targets)
+            if not any(_are_incompatible(fault, other) for other in faults):
                 faults.append(fault)
         planned.append(tuple(faults))
     return planned
 
 
 def _draw_fault(
-    draw: random.Random, shape: Shape, targets: Targets
+    generator: random.Random, shape: Shape, targets: Targets
 ) -> PlannedFault:
-    kind = draw.choice(list(FaultKind))
-    shortest, longest = SHORTEST_SECONDS, LONGEST_SECONDS
+    kind = generator.choice(list(FaultKind))
+    min_seconds, max_seconds = MIN_FAULT_SECONDS, MAX_FAULT_SECONDS
     if kind is FaultKind.ROUTER_FROZEN:
-        shortest, longest = SHORTEST_FREEZE_SECONDS, LONGEST_FREEZE_SECONDS
-    seconds = draw.uniform(shortest, longest)
+        min_seconds, max_seconds = MIN_FREEZE_SECONDS, MAX_FREEZE_SECONDS
+    seconds = generator.uniform(min_seconds, max_seconds)
     if kind in _ROUTER_KINDS:
-        target = draw.choice(sorted(targets.routers))
+        target = generator.choice(sorted(targets.routers))
         return PlannedFault(kind, target, targets.routers[target], seconds)
     if kind in _UPSTREAM_KINDS:
-        target = draw.choice(sorted(targets.upstreams))
+        target = generator.choice(sorted(targets.upstreams))
         return PlannedFault(kind, target, targets.upstreams[target], seconds)
     if kind in _DATA_CENTRE_KINDS:
-        target = draw.choice(shape.data_centres)
+        target = generator.choice(shape.data_centres)
         return PlannedFault(kind, target, target, seconds)
     return PlannedFault(kind, "", "", seconds)
 
 
-def _excludes(fault: PlannedFault, other: PlannedFault) -> bool:
+def _are_incompatible(fault: PlannedFault, other: PlannedFault) -> bool:
     """Return whether two faults must not overlap."""
     if fault.kind is other.kind or (
         fault.target and fault.target == other.target
--- a/packages/standins/src/lacewingspar_standins/bench/faults.py
+++ b/packages/standins/src/lacewingspar_standins/bench/faults.py
@@ -19,18 +19,18 @@
     data_centre_of,
     deployed,
 )
-from lacewingspar_standins.bench.fault_actions import FaultActions
+from lacewingspar_standins.bench.fault_actions import FaultInjector
 from lacewingspar_standins.bench.fault_checks import (
-    answers_without_run,
     async_read_runs,
     cut_by_shutdowns,
     differing_versions,
     repeated_runs,
+    responses_without_run,
     wrong_not_run,
 )
 from lacewingspar_standins.bench.fault_edits import (
     POLL_TIMEOUT_SECONDS,
-    VersionWatch,
+    VersionMonitor,
     admin_client,
     async_lost_edits,
     read_versions,
@@ -59,7 +59,7 @@
 LOAD_TIMEOUT_SECONDS = 40.0
 LOAD_END_LIMIT_SECONDS = 300.0
 LIMITS = Limits(silent_after_seconds=5.0)
-SHOWN_DETAILS = 5
+MAX_SHOWN_DETAILS = 5
 
 
 class FaultsResult(msgspec.Struct, frozen=True, kw_only=True):
@@ -126,30 +126,30 @@
         limits=LIMITS,
         folder=folder,
     ) as deployment:
-        actions = FaultActions(deployment, seed)
-        await actions.async_list_vms()
+        injector = FaultInjector(deployment, seed)
+        await injector.async_list_vms()
         planned = draw_rounds(
             seed, rounds, deployment.shape, _targets(deployment)
         )
-        watch = VersionWatch()
-        watching = asyncio.create_task(watch.async_run(deployment))
+        monitor = VersionMonitor()
+        monitor_task = asyncio.create_task(monitor.async_run(deployment))
         loads = await _async_start_loads(deployment, seed)
         await asyncio.sleep(WARM_UP_SECONDS)
         for number, faults in enumerate(planned):
-            await _async_round(deployment, actions, number, faults)
+            await _async_round(deployment, injector, number, faults)
         for load in loads.values():
             load.process.terminate()
         async with asyncio.timeout(LOAD_END_LIMIT_SECONDS):
             results = {dc: await load.result() for dc, load in loads.items()}
-        watching.cancel()
+        monitor_task.cancel()
         return await _async_result(
-            deployment, seed, planned, actions, watch, results
+            deployment, seed, planned, injector, monitor, results
         )
 
 
 async def _async_round(
     deployment: Deployment,
-    actions: FaultActions,
+    injector: FaultInjector,
     number: int,
     faults: tuple[PlannedFault, ...],
 ) -> None:
@@ -160,7 +160,7 @@
         asyncio.TaskGroup() as group,
     ):
         for fault in faults:
-            group.create_task(actions.async_apply(fault))
+            group.create_task(injector.async_apply(fault))
     for plan in deployment.plans:
         router = deployment.routers[plan.router_id]
         await router.wait_ready(plan.admin_address, READY_SECONDS)
@@ -214,13 +214,13 @@
     deployment: Deployment,
     seed: int,
     planned: list[tuple[PlannedFault, ...]],
-    actions: FaultActions,
-    watch: VersionWatch,
+    injector: FaultInjector,
+    monitor: VersionMonitor,
     results: dict[str, LoadResult],
 ) -> FaultsResult:
     """Compare the responses to callers with the runs of the upstreams."""
     runs = await async_read_runs(deployment)
-    observed = actions.observed
+    observed = injector.observed
     loads = list(results.values())
     async with admin_client(POLL_TIMEOUT_SECONDS) as client:
         versions = {
@@ -238,15 +238,15 @@
         faults=[[str(fault) for fault in faults] for faults in planned],
         calls_by_outcome=dict(calls),
         keys_run=len(runs.by_key),
-        readings=watch.readings,
+        readings=monitor.readings,
         breaches={
             "calls that ran more than once": repeated_runs(runs),
             "not_run answers of requests that ran": wrong_not_run(loads, runs),
-            "answers without a run": answers_without_run(loads, runs),
+            "answers without a run": responses_without_run(loads, runs),
             "wrong or incomplete answers": [
                 problem for load in loads for problem in load.problems
             ],
-            "versions that reverted": watch.reverted,
+            "versions that reverted": monitor.reverted,
             "versions that differ at the end": differing_versions(
                 versions, newest
             ),
@@ -258,7 +258,7 @@
                 *observed.cut_requests,
                 *cut_by_shutdowns(loads, observed.shutdowns),
             ],
-            "late work at leaving upstreams": observed.late_work,
+            "late work at leaving upstreams": observed.late_requests,
         },
         gap_seconds_by_data_centre={
             data_centre: result.longest_gap_seconds
@@ -289,5 +289,5 @@
         typer.echo(f"graceful shutdown took {seconds:.2f} s")
     for check, details in result.breaches.items():
         typer.echo(f"{check}: {len(details)}")
-        for detail in details[:SHOWN_DETAILS]:
+        for detail in details[:MAX_SHOWN_DETAILS]:
             typer.echo(f"  {detail}")
--- a/packages/standins/src/lacewingspar_standins/bench/gossip.py
+++ b/packages/standins/src/lacewingspar_standins/bench/gossip.py
@@ -19,7 +19,7 @@
 )
 
 # Random variation of the heartbeat interval, as a fraction of it.
-_BEAT_JITTER = 0.05
+_HEARTBEAT_JITTER_FRACTION = 0.05
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         ]
         table = Heartbeat(tuple(records))
         self.membership_by_id: dict[str, Membership] = {}
-        self._next_beat_by_id: dict[str, float] = {}
+        self._next_heartbeat_by_id: dict[str, float] = {}
         for index, record in enumerate(records):
             membership = Membership(
                 record, (), random.Random(seed * 1009 + index)
@@ -75,19 +75,19 @@
             membership.merge(table, 0.0)
             router_id = record.life.router_id
             self.membership_by_id[router_id] = membership
-            self._next_beat_by_id[router_id] = self._generator.random()
+            self._next_heartbeat_by_id[router_id] = self._generator.random()
         self.first_id = records[0].life.router_id
 
     def run(self, seconds: float) -> None:
         """Advance the simulated time."""
-        for router_id in self._beats(self.now + seconds):
-            self._beat(router_id)
+        for router_id in self._due_routers(self.now + seconds):
+            self._send_heartbeats(router_id)
             self._count_misses(router_id)
 
     def fail(self, router_id: str, seconds: float) -> None:
         """Stop a router and measure when its data centre detects it."""
         failed = self.membership_by_id.pop(router_id)
-        del self._next_beat_by_id[router_id]
+        del self._next_heartbeat_by_id[router_id]
         failed_at = self.now
         unaware = {
             other
@@ -95,31 +95,32 @@
             if membership.own_record.data_centre
             == failed.own_record.data_centre
         }
-        for other in self._beats(self.now + seconds):
-            self._beat(other)
+        for other in self._due_routers(self.now + seconds):
+            self._send_heartbeats(other)
             alive = self.membership_by_id[other].alive(self.now)
             if other in unaware and router_id not in alive:
                 unaware.remove(other)
                 self.figures.suspected_seconds.append(self.now - failed_at)
         self.figures.suspected_seconds += [seconds] * len(unaware)
 
-    def _beats(self, until: float) -> Iterator[str]:
+    def _due_routers(self, until: float) -> Iterator[str]:
         """Yield the routers in the order of their heartbeats."""
         while True:
             router_id = min(
-                self._next_beat_by_id, key=self._next_beat_by_id.__getitem__
+                self._next_heartbeat_by_id,
+                key=self._next_heartbeat_by_id.__getitem__,
             )
-            if self._next_beat_by_id[router_id] >= until:
+            if self._next_heartbeat_by_id[router_id] >= until:
                 self.now = until
                 return
-            self.now = self._next_beat_by_id[router_id]
-            jitter = 1 + self._generator.uniform(0, _BEAT_JITTER)
-            self._next_beat_by_id[router_id] += (
+            self.now = self._next_heartbeat_by_id[router_id]
+            jitter = 1 + self._generator.uniform(0, _HEARTBEAT_JITTER_FRACTION)
+            self._next_heartbeat_by_id[router_id] += (
                 HEARTBEAT_INTERVAL_SECONDS * jitter
             )
             yield router_id
 
-    def _beat(self, router_id: str) -> None:
+    def _send_heartbeats(self, router_id: str) -> None:
         started_at = time.process_time()
         membership = self.membership_by_id[router_id]
         heartbeat, receivers = membership.next_heartbeat(self.now)
--- a/packages/standins/src/lacewingspar_standins/bench/path.py
+++ b/packages/standins/src/lacewingspar_standins/bench/path.py
@@ -30,8 +30,8 @@
 )
 from lacewingspar_standins.fleet import Fleet
 
-WAYS = ("direct", "bare", "router")
-MEASURED_WAYS = ("bare", "router")
+PATHS = ("direct", "bare", "router")
+MEASURED_PATHS = ("bare", "router")
 PERCENTS = (50, 99)
 REQUESTS_PER_SECOND = 7.0
 TOKENS_PER_SECOND = 2150
@@ -153,8 +153,8 @@
         round(TOKENS_PER_SECOND / REQUESTS_PER_SECOND),
     )
     figures: Figures = {}
-    for way in WAYS:
-        client = PathClient(rig.address_of(way), MODEL_FAST)
+    for path in PATHS:
+        client = PathClient(rig.address_of(path), MODEL_FAST)
         await run_open_loop(client, plan, stream=False)
         await run_open_loop(client, plan, stream=True)
         client.close()
@@ -166,9 +166,9 @@
             for percent in PERCENTS:
                 value = percentile(values, percent)
                 direct = figures.get(f"{kind}_direct_p{percent}_ms", value)
-                figures[f"{kind}_{way}_p{percent}_ms"] = value
-                if way != "direct":
-                    name = f"{kind}_added_{way}_p{percent}_ms"
+                figures[f"{kind}_{path}_p{percent}_ms"] = value
+                if path != "direct":
+                    name = f"{kind}_added_{path}_p{percent}_ms"
                     figures[name] = value - direct
     return figures
 
@@ -176,9 +176,9 @@
 async def _requests(rig: PathRig, seconds: float) -> Figures:
     """Measure the request throughput of one process."""
     figures: Figures = {}
-    for way in MEASURED_WAYS:
-        client = PathClient(rig.address_of(way), MODEL_FAST)
-        meter = CpuMeter(rig.pid_of(way))
+    for path in MEASURED_PATHS:
+        client = PathClient(rig.address_of(path), MODEL_FAST)
+        meter = CpuMeter(rig.pid_of(path))
         await run_closed_loop(
             client,
             clients=REQUEST_CLIENTS,
@@ -187,16 +187,16 @@
             stream=False,
         )
         figures |= {
-            f"requests_per_second_{way}": client.answers
+            f"requests_per_second_{path}": client.responses
             / meter.elapsed_seconds(),
-            f"requests_cores_{way}": meter.used_seconds()
+            f"requests_cores_{path}": meter.used_seconds()
             / meter.elapsed_seconds(),
-            f"cpu_per_request_{way}_us": meter.used_seconds()
-            / client.answers
+            f"cpu_per_request_{path}_us": meter.used_seconds()
+            / client.responses
             * 1e6,
-            f"requests_failed_{way}": len(client.errors),
+            f"requests_failed_{path}": len(client.errors),
         }
-        _show_errors(client, way)
+        _show_errors(client, path)
         client.close()
     figures["cpu_per_request_router_to_bare"] = (
         figures["cpu_per_request_router_us"]
@@ -208,12 +208,12 @@
 async def _steady_events(rig: PathRig, seconds: float) -> Figures:
     """Measure the processor time per event when each is forwarded alone."""
     figures: Figures = {}
-    for way in MEASURED_WAYS:
-        client, meter = await _streams(rig, way, STEADY_STREAMS, seconds)
-        figures[f"cpu_per_event_{way}_us"] = (
+    for path in MEASURED_PATHS:
+        client, meter = await _streams(rig, path, STEADY_STREAMS, seconds)
+        figures[f"cpu_per_event_{path}_us"] = (
             meter.used_seconds() / client.events * 1e6
         )
-        figures[f"steady_events_per_second_{way}"] = (
+        figures[f"steady_events_per_second_{path}"] = (
             client.events / meter.elapsed_seconds()
         )
     figures["cpu_per_event_router_to_bare"] = (
@@ -225,19 +225,19 @@
 async def _saturating_events(rig: PathRig, seconds: float) -> Figures:
     """Measure the event throughput of one process."""
     figures: Figures = {}
-    for way in MEASURED_WAYS:
-        client, meter = await _streams(rig, way, SATURATING_STREAMS, seconds)
+    for path in MEASURED_PATHS:
+        client, meter = await _streams(rig, path, SATURATING_STREAMS, seconds)
         elapsed = meter.elapsed_seconds()
-        figures[f"events_per_second_{way}"] = client.events / elapsed
-        figures[f"events_cores_{way}"] = meter.used_seconds() / elapsed
+        figures[f"events_per_second_{path}"] = client.events / elapsed
+        figures[f"events_cores_{path}"] = meter.used_seconds() / elapsed
     return figures
 
 
 async def _streams(
-    rig: PathRig, way: str, count: int, seconds: float
+    rig: PathRig, path: str, count: int, seconds: float
 ) -> tuple[PathClient, CpuMeter]:
-    client = PathClient(rig.address_of(way), MODEL_FAST)
-    meter = CpuMeter(rig.pid_of(way))
+    client = PathClient(rig.address_of(path), MODEL_FAST)
+    meter = CpuMeter(rig.pid_of(path))
     await run_closed_loop(
         client,
         clients=count,
@@ -245,15 +245,15 @@
         tokens=STREAM_TOKENS,
         stream=True,
     )
-    _show_errors(client, way)
+    _show_errors(client, path)
     client.close()
     return client, meter
 
 
-def _show_errors(client: PathClient, way: str) -> None:
+def _show_errors(client: PathClient, path: str) -> None:
     if client.errors:
         typer.echo(
-            f"{way}: {len(client.errors)} requests failed, "
+            f"{path}: {len(client.errors)} requests failed, "
             f"the first with {client.errors[0]}",
             err=True,
         )
@@ -274,7 +274,7 @@
 async def _open_streams(rig: PathRig) -> Figures:
     """Measure the memory with many open streams."""
     figures: Figures = {}
-    for way, address, pid in (
+    for path, address, pid in (
         ("bare", rig.slow_proxy.address, rig.slow_proxy.process.pid),
         ("router", rig.router_address, rig.pid_of("router")),
     ):
@@ -287,6 +287,6 @@
         after = resident_bytes(pid)
         for stream in streams:
             await stream.aclose()
-        figures[f"open_streams_memory_{way}_mib"] = after / MIB
-        figures[f"open_streams_added_{way}_mib"] = (after - before) / MIB
+        figures[f"open_streams_memory_{path}_mib"] = after / MIB
+        figures[f"open_streams_added_{path}_mib"] = (after - before) / MIB
     return figures
--- a/packages/standins/src/lacewingspar_standins/bench/path_client.py
+++ b/packages/standins/src/lacewingspar_standins/bench/path_client.py
@@ -22,7 +22,7 @@
     encode_request,
 )
 
-_EVENT_MARK = b"data: "
+_EVENT_PREFIX = b"data: "
 # The last event and the end marker carry no token.
 _EVENTS_WITHOUT_TOKEN = 2
 ERROR_PAUSE_SECONDS = 0.1
@@ -56,14 +56,14 @@
 
     Attributes:
         times: Transit times.
-        answers: Number of complete responses.
+        responses: Number of complete responses.
         events: Number of token events received.
         errors: Errors of failed requests in closed loops.
     """
 
     def __init__(self, address: str, model: str) -> None:
         self.times = Times()
-        self.answers = 0
+        self.responses = 0
         self.events = 0
         self.errors: list[str] = []
         self._address = address
@@ -85,9 +85,9 @@
             ended_ns = time.monotonic_ns()
             arrived_ns = int(connection.headers[HEADER_ARRIVED])
             sent_ns = int(connection.headers[HEADER_SENT])
-            way_ns = arrived_ns - started_ns + ended_ns - sent_ns
-            self.times.whole.append(way_ns / 1e6)
-            self.answers += 1
+            transit_ns = arrived_ns - started_ns + ended_ns - sent_ns
+            self.times.whole.append(transit_ns / 1e6)
+            self.responses += 1
         finally:
             self._pool.release(self._address, connection)
 
@@ -107,15 +107,17 @@
             started_ns = time.monotonic_ns()
             await self._send(connection, tokens, stream=True)
             arrived_ns = int(connection.headers[HEADER_ARRIVED])
-            way_there_ms = (arrived_ns - started_ns) / 1e6
+            request_transit_ms = (arrived_ns - started_ns) / 1e6
             count = 0
             last = b""
             async for part in connection.parts():
                 delays = _delays_ms(part)
                 if count == 0 and delays:
-                    self.times.first_event.append(way_there_ms + delays[0])
+                    self.times.first_event.append(
+                        request_transit_ms + delays[0]
+                    )
                 self.times.event += delays
-                arrived = part.count(_EVENT_MARK)
+                arrived = part.count(_EVENT_PREFIX)
                 count += arrived
                 self.events += arrived
                 last = part
@@ -124,7 +126,7 @@
                 raise PathError("stream ended without its end marker")
             if count != tokens + _EVENTS_WITHOUT_TOKEN:
                 raise PathError(f"{count} events for {tokens} tokens")
-            self.answers += 1
+            self.responses += 1
         finally:
             self._pool.release(self._address, connection)
 
@@ -158,13 +160,13 @@
     client: PathClient, plan: "OpenLoop", *, stream: bool
 ) -> None:
     """Send requests at random times with random numbers of tokens."""
-    draw = random.Random(plan.seed)
+    generator = random.Random(plan.seed)
     due_at = time.monotonic()
     ends_at = due_at + plan.seconds
     async with asyncio.TaskGroup() as group:
         while True:
-            due_at += draw.expovariate(plan.requests_per_second)
-            tokens = draw.randint(
+            due_at += generator.expovariate(plan.requests_per_second)
+            tokens = generator.randint(
                 plan.mean_tokens // 2, plan.mean_tokens * 3 // 2
             )
             if due_at >= ends_at:
--- a/packages/standins/src/lacewingspar_standins/bench/propagation.py
+++ b/packages/standins/src/lacewingspar_standins/bench/propagation.py
@@ -20,7 +20,7 @@
 STEP_MS = 10.0
 POLL_SECONDS = 0.005
 # Exceeds the propagation time that operators are promised.
-GIVE_UP_SECONDS = 30.0
+PROPAGATION_TIMEOUT_SECONDS = 30.0
 
 
 def main(
@@ -76,7 +76,7 @@
     accepted = await deployment.fleet.publish(
         admin, document, answer.json()["version"]
     )
-    async with asyncio.timeout(GIVE_UP_SECONDS):
+    async with asyncio.timeout(PROPAGATION_TIMEOUT_SECONDS):
         await asyncio.gather(
             *(
                 _async_wait_for(client, plan.admin_address, accepted["version"])
--- a/packages/standins/src/lacewingspar_standins/bench/rig.py
+++ b/packages/standins/src/lacewingspar_standins/bench/rig.py
@@ -47,18 +47,18 @@
     router: RouterProcess
     router_address: str
 
-    def pid_of(self, way: str) -> int:
+    def pid_of(self, path: str) -> int:
         """Return the id of the process to measure for a path."""
-        process = self.router if way == "router" else self.proxy
+        process = self.router if path == "router" else self.proxy
         return process.process.pid
 
-    def address_of(self, way: str) -> str:
+    def address_of(self, path: str) -> str:
         """Return the address for fast-model requests over a path."""
         return {
             "direct": self.engine.address,
             "bare": self.proxy.address,
             "router": self.router_address,
-        }[way]
+        }[path]
 
 
 async def start_path_rig(fleet: Fleet) -> PathRig:
--- a/packages/standins/src/lacewingspar_standins/bench/share.py
+++ b/packages/standins/src/lacewingspar_standins/bench/share.py
@@ -18,8 +18,8 @@
     SHAPES_BY_NAME,
     Deployment,
     Shape,
-    balanced,
     deployed,
+    deployed_baseline,
 )
 from lacewingspar_standins.bench.fairness import (
     FairnessFigures,
@@ -153,7 +153,7 @@
         run = await _async_measure(deployment, options)
     baseline = {}
     if options.has_baseline:
-        async with balanced(shape, step_ms=STEP_MS) as deployment:
+        async with deployed_baseline(shape, step_ms=STEP_MS) as deployment:
             baseline = _fairness(
                 shape, (await _async_measure(deployment, options)).samples
             )
--- a/packages/standins/src/lacewingspar_standins/bench/soak.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak.py
@@ -20,7 +20,11 @@
 import typer
 
 from lacewingspar_standins.bench.soak_callers import SoakCallers
-from lacewingspar_standins.bench.soak_checks import Facts, Span, breaches
+from lacewingspar_standins.bench.soak_checks import (
+    SoakObservations,
+    Span,
+    breaches,
+)
 from lacewingspar_standins.bench.soak_fleet import (
     EVENTS,
     STOP_GRACE_SECONDS,
@@ -36,11 +40,11 @@
 ROUND_SECONDS = 3.0
 WARM_UP_SECONDS = 2.0
 # Time until the fleet has detected the end of a fault.
-NOTICE_SECONDS = 3.5
+DETECTION_SECONDS = 3.5
 # The fleet has this long to recover from the last fault; then requests are
 # checked for the following time.
 RECOVERY_SECONDS = 6.0
-CHECKED_SECONDS = 3.0
+RECOVERY_CHECK_SECONDS = 3.0
 
 # Name and value of a field of `Faults`.
 Fault = tuple[str, Any]
@@ -67,14 +71,14 @@
     Attributes:
         fleet: The deployment.
         spans: Faults so far.
-        flips: Time and route number of each published configuration.
+        route_changes: Time and route number of each published configuration.
         drains: Drained upstreams with the start and end of each drain.
     """
 
     def __init__(self, fleet: SoakFleet) -> None:
         self.fleet = fleet
         self.spans: list[Span] = []
-        self.flips: list[tuple[float, int]] = [(self.now, 0)]
+        self.route_changes: list[tuple[float, int]] = [(self.now, 0)]
         self.drains: list[tuple[str, float, float]] = []
         self._busy: set[str] = set()
 
@@ -84,27 +88,27 @@
         return asyncio.get_running_loop().time()
 
     async def async_apply(
-        self, disturbance: "Disturbance", generator: random.Random
+        self, scenario: "FaultScenario", generator: random.Random
     ) -> None:
         """Inject a fault into a random part without a fault."""
-        parts = disturbance.parts(self.fleet)
+        parts = scenario.parts(self.fleet)
         free = sorted(set(parts) - self._busy)
-        if len(free) < disturbance.least_free:
+        if len(free) < scenario.min_free:
             return
         name = generator.choice(free)
-        kind, fault = disturbance.kind, ("", None)
-        if disturbance.faults:
-            fault = generator.choice(disturbance.faults)
+        kind, fault = scenario.kind, ("", None)
+        if scenario.faults:
+            fault = generator.choice(scenario.faults)
             kind = fault[0]
         start = self.now
         self._busy.add(name)
         typer.echo(f"  {kind} {name}", err=True)
         try:
-            await disturbance.work(self, name, fault, generator)
+            await scenario.work(self, name, fault, generator)
         finally:
             self._busy.discard(name)
-            end = self.now + NOTICE_SECONDS
-            subject = disturbance.subject or name
+            end = self.now + DETECTION_SECONDS
+            subject = scenario.subject or name
             self.spans.append(Span(subject, kind, start, end))
 
 
@@ -112,7 +116,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Disturbance:
+class FaultScenario:
     """A kind of fault that can be injected into a part of the deployment.
 
     Attributes:
@@ -121,7 +125,7 @@
         work: Injects the fault into a part, reverts it and returns.
         faults: Faults to draw one from, or empty.
         subject: Subject of the recorded span, if not the part itself.
-        least_free: Minimum number of parts without a fault before the
+        min_free: Minimum number of parts without a fault before the
             injection. The default leaves one such part afterwards.
     """
 
@@ -130,7 +134,7 @@
     work: Work
     faults: tuple[Fault, ...] = ()
     subject: str = ""
-    least_free: int = 2
+    min_free: int = 2
 
 
 def _routers(fleet: SoakFleet) -> Collection[str]:
@@ -185,7 +189,7 @@
     soak: Soak, name: str, fault: Fault, generator: random.Random
 ) -> None:
     link = soak.fleet.link_by_name[name]
-    with _in_force(link.faults, fault):
+    with _active_fault(link.faults, fault):
         link.faults_changed()
         await asyncio.sleep(generator.uniform(0.2, 3.0))
 
@@ -198,7 +202,7 @@
         for topic in store.topic_by_name.values():
             topic.compact()
         return
-    with _in_force(store.faults, fault):
+    with _active_fault(store.faults, fault):
         store.faults_changed()
         await asyncio.sleep(generator.uniform(0.3, 3.0))
 
@@ -206,12 +210,12 @@
 async def _async_upstream(
     soak: Soak, name: str, fault: Fault, generator: random.Random
 ) -> None:
-    with _in_force(soak.fleet.upstream_by_id[name].faults, fault):
+    with _active_fault(soak.fleet.upstream_by_id[name].faults, fault):
         await asyncio.sleep(generator.uniform(0.2, 2.0))
 
 
 @contextmanager
-def _in_force(faults: Faults, fault: Fault) -> Iterator[None]:
+def _active_fault(faults: Faults, fault: Fault) -> Iterator[None]:
     """Activate a fault until the context ends."""
     field, value = fault
     normal = getattr(faults, field)
@@ -233,19 +237,19 @@
 ) -> None:
     since = soak.now
     soak.fleet.draining.add(name)
-    soak.fleet.beat(name)
+    soak.fleet.write_entry(name)
     await asyncio.sleep(generator.uniform(1.0, 4.0))
     soak.fleet.draining.discard(name)
     soak.drains.append((name, since, soak.now))
-    soak.fleet.beat(name)
+    soak.fleet.write_entry(name)
 
 
-async def _async_flip(soak: Soak, generator: random.Random) -> None:
+async def _async_change_routes(soak: Soak, generator: random.Random) -> None:
     """Publish alternating configurations, which is not a fault."""
     for _ in range(generator.choice((1, 1, 4))):
-        number = 1 - soak.flips[-1][1]
+        number = 1 - soak.route_changes[-1][1]
         soak.fleet.publish(number)
-        soak.flips.append((soak.now, number))
+        soak.route_changes.append((soak.now, number))
         await asyncio.sleep(generator.uniform(0.0, 0.3))
 
 
@@ -276,17 +280,17 @@
     ("status", 500),
 )
 # None stands for publishing configurations.
-_WEIGHT_BY_DISTURBANCE: dict[Disturbance | None, int] = {
-    Disturbance("pause", _routers, _async_pause): 2,
-    Disturbance("kill", _routers, _async_kill): 2,
-    Disturbance("terminate", _routers, _async_terminate): 3,
-    Disturbance("", _links, _async_link, _LINK_FAULTS, "link"): 4,
-    Disturbance(
-        "", _store, _async_store, _STORE_FAULTS, "store", least_free=1
+_WEIGHT_BY_SCENARIO: dict[FaultScenario | None, int] = {
+    FaultScenario("pause", _routers, _async_pause): 2,
+    FaultScenario("kill", _routers, _async_kill): 2,
+    FaultScenario("terminate", _routers, _async_terminate): 3,
+    FaultScenario("", _links, _async_link, _LINK_FAULTS, "link"): 4,
+    FaultScenario(
+        "", _store, _async_store, _STORE_FAULTS, "store", min_free=1
     ): 2,
-    Disturbance("crash", _upstreams, _async_crash): 2,
-    Disturbance("drain", _upstreams, _async_drain): 2,
-    Disturbance("", _upstreams, _async_upstream, _UPSTREAM_FAULTS): 3,
+    FaultScenario("crash", _upstreams, _async_crash): 2,
+    FaultScenario("drain", _upstreams, _async_drain): 2,
+    FaultScenario("", _upstreams, _async_upstream, _UPSTREAM_FAULTS): 3,
     None: 3,
 }
 
@@ -339,14 +343,14 @@
             for plan in fleet.plan_by_id.values()
         }
         callers = SoakCallers(addresses, seed)
-        faults_end_at = await _async_play(
+        faults_end_at = await _async_run_rounds(
             soak, callers, generator, rounds, CALLERS_PER_ROUTER * routers
         )
-        facts = Facts(
+        observations = SoakObservations(
             calls=callers.calls,
             upstreams=list(fleet.upstream_by_id.values()),
             spans=soak.spans,
-            flips=soak.flips,
+            route_changes=soak.route_changes,
             drains=soak.drains,
             faults_end_at=faults_end_at,
             events=EVENTS,
@@ -354,11 +358,11 @@
         return SoakResult(
             [f"{span.kind} {span.subject}" for span in soak.spans],
             Counter(call.status for call in callers.calls),
-            breaches(facts),
+            breaches(observations),
         )
 
 
-async def _async_play(
+async def _async_run_rounds(
     soak: Soak,
     callers: SoakCallers,
     generator: random.Random,
@@ -378,7 +382,7 @@
         Time from which all requests should be served again.
     """
     tasks = [
-        asyncio.create_task(soak.fleet.async_beat()),
+        asyncio.create_task(soak.fleet.async_renew_entries()),
         asyncio.create_task(callers.async_run(count)),
     ]
     await asyncio.sleep(WARM_UP_SECONDS)
@@ -388,7 +392,7 @@
             await asyncio.sleep(ROUND_SECONDS)
     await asyncio.sleep(RECOVERY_SECONDS)
     faults_end_at = soak.now
-    await asyncio.sleep(CHECKED_SECONDS)
+    await asyncio.sleep(RECOVERY_CHECK_SECONDS)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -399,16 +403,16 @@
     soak: Soak, generator: random.Random, group: asyncio.TaskGroup
 ) -> None:
     """Schedule the faults of a round at random times."""
-    disturbances = list(_WEIGHT_BY_DISTURBANCE)
-    weights = list(_WEIGHT_BY_DISTURBANCE.values())
+    scenarios = list(_WEIGHT_BY_SCENARIO)
+    weights = list(_WEIGHT_BY_SCENARIO.values())
     count = generator.choice((1, 2, 3))
-    for disturbance in generator.choices(disturbances, weights, k=count):
+    for scenario in generator.choices(scenarios, weights, k=count):
         delay = generator.uniform(0.0, ROUND_SECONDS)
         own = random.Random(generator.random())
         work = (
-            _async_flip(soak, own)
-            if disturbance is None
-            else soak.async_apply(disturbance, own)
+            _async_change_routes(soak, own)
+            if scenario is None
+            else soak.async_apply(scenario, own)
         )
         group.create_task(_async_later(delay, work))
 
--- a/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
@@ -27,16 +27,16 @@
 # Paths whose requests must not run twice.
 SINGLE_RUN_PATHS = frozenset({"/stream-once/", "/write/"})
 # Fraction of the requests whose caller disconnects before the response.
-LEAVING_FRACTION = 0.06
+DISCONNECT_FRACTION = 0.06
 # Upper limit of the time between two requests of a caller.
-LONGEST_PAUSE_SECONDS = 0.12
+MAX_REQUEST_GAP_SECONDS = 0.12
 # Callers wait this long after the deadline of their request.
-OVERTIME_SECONDS = 2.0
-CONNECT_SECONDS = 1.0
+DEADLINE_GRACE_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
-class SeenCall:
+class ObservedCall:
     """A request and its response, as seen by the caller.
 
     Attributes:
@@ -66,7 +66,7 @@
     is_complete: bool = False
 
     @property
-    def is_closed_unanswered(self) -> bool:
+    def is_closed_early(self) -> bool:
         """Return whether the connection closed before the response ended."""
         return not self.is_complete and self.left_at == float("inf")
 
@@ -86,7 +86,7 @@
         self._address_by_router_id = address_by_router_id
         self._seed = seed
         self._numbers = itertools.count(1)
-        self.calls: list[SeenCall] = []
+        self.calls: list[ObservedCall] = []
 
     async def async_run(self, callers: int) -> None:
         """Send requests until cancelled."""
@@ -105,14 +105,14 @@
                 continue
             try:
                 while await self._async_call(connection, router_id, generator):
-                    pause = generator.uniform(0, LONGEST_PAUSE_SECONDS)
-                    await asyncio.sleep(pause)
+                    request_gap = generator.uniform(0, MAX_REQUEST_GAP_SECONDS)
+                    await asyncio.sleep(request_gap)
             finally:
                 connection.abort()
 
     async def _async_connect(self, router_id: str) -> ClientConnection | None:
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 return await async_connect(
                     self._address_by_router_id[router_id]
                 )
@@ -130,7 +130,7 @@
         path = generator.choices(
             list(WEIGHT_BY_PATH), list(WEIGHT_BY_PATH.values())
         )[0]
-        call = SeenCall(
+        call = ObservedCall(
             request_id=f"s{self._seed}-{next(self._numbers)}",
             path=path,
             router_id=router_id,
@@ -138,9 +138,9 @@
             deadline_seconds=generator.choice((1.0, 2.0, 4.0)),
         )
         self.calls.append(call)
-        patience = call.deadline_seconds + OVERTIME_SECONDS
-        if generator.random() < LEAVING_FRACTION:
-            patience = generator.uniform(0.0, 0.05)
+        timeout_seconds = call.deadline_seconds + DEADLINE_GRACE_SECONDS
+        if generator.random() < DISCONNECT_FRACTION:
+            timeout_seconds = generator.uniform(0.0, 0.05)
         connection.send(
             request_bytes(
                 call.path,
@@ -150,7 +150,7 @@
             )
         )
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_seconds):
                 await _async_read(connection, call)
         except TimeoutError:
             call.left_at = loop.time()
@@ -163,7 +163,7 @@
         return connection.complete_exchange()
 
 
-async def _async_read(connection: ClientConnection, call: SeenCall) -> None:
+async def _async_read(connection: ClientConnection, call: ObservedCall) -> None:
     while True:
         match await connection.async_next_event():
             case ResponseHead(status, pairs):
--- a/packages/standins/src/lacewingspar_standins/bench/soak_checks.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_checks.py
@@ -6,25 +6,25 @@
 
 from lacewingspar_standins.bench.soak_callers import (
     SINGLE_RUN_PATHS,
-    SeenCall,
+    ObservedCall,
 )
 from lacewingspar_standins.deployed.upstream import SEAL, Upstream
 
 # Statuses that mean that the request has not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 # Maximum delay of a response after the deadline.
-LATE_ANSWER_SECONDS = 0.5
+MAX_RESPONSE_DELAY_SECONDS = 0.5
 # Maximum time from a caller's disconnect until its request reaches an upstream.
-LEFT_SECONDS = 0.6
+MAX_DISCONNECT_DELAY_SECONDS = 0.6
 # Maximum time until routers apply a new configuration.
-APPLY_SECONDS = 2.0
+MAX_APPLY_SECONDS = 2.0
 # Maximum time for which a draining upstream still receives requests.
-DRAIN_SECONDS = 2.0
+MAX_DRAIN_DELAY_SECONDS = 2.0
 # A request sent less than this before its connection closed may be unread.
-CROSSING_SECONDS = 0.2
+CLOSE_RACE_SECONDS = 0.2
 # Minimum fraction of the requests that are served after the last fault.
-SERVED_AFTER_FAULTS = 0.95
-SHOWN = 5
+MIN_SERVED_FRACTION = 0.95
+MAX_SHOWN = 5
 
 _EVENT_NUMBER = re.compile(rb"data: event (\d+)\n\n")
 
@@ -51,28 +51,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class SoakObservations:
     """Everything that was observed in a soak.
 
     Attributes:
         calls: Requests of the callers.
         upstreams: Upstreams with the requests that they received.
         spans: Periods of the injected faults.
-        flips: Time and route number of each configuration.
+        route_changes: Time and route number of each configuration.
         drains: Upstream, start and end of each drain.
         faults_end_at: Time after which no fault was active.
         events: Number of events in a complete stream.
     """
 
-    calls: list[SeenCall]
+    calls: list[ObservedCall]
     upstreams: list[Upstream]
     spans: list[Span]
-    flips: list[tuple[float, int]]
+    route_changes: list[tuple[float, int]]
     drains: list[tuple[str, float, float]]
     faults_end_at: float
     events: int
 
-    def is_calm(self, start: float, end: float, *subjects: str) -> bool:
+    def is_fault_free(self, start: float, end: float, *subjects: str) -> bool:
         """Return whether no fault affected the subjects in a period."""
         return not any(
             span.subject in subjects and span.overlaps(start, end)
@@ -80,34 +80,36 @@
         )
 
 
-def breaches(facts: Facts) -> dict[str, list[str]]:
+def breaches(observations: SoakObservations) -> dict[str, list[str]]:
     """Describe violations by check, without the checks that passed."""
     found = {
-        "answers": _wrong_answers(facts),
-        "repeated runs": _repeated_runs(facts),
-        "false refusals": _false_refusals(facts),
-        "late answers": _late_answers(facts),
-        "sent after the caller left": _sent_after_leaving(facts),
-        "old configuration": _old_configuration(facts),
-        "sent to a leaving upstream": _sent_while_draining(facts),
-        "cut by a shutdown": _cut_by_shutdown(facts),
-        "recovery": _recovery(facts),
+        "answers": _wrong_responses(observations),
+        "repeated runs": _repeated_runs(observations),
+        "false refusals": _false_refusals(observations),
+        "late answers": _late_responses(observations),
+        "sent after the caller left": _sent_after_disconnect(observations),
+        "old configuration": _old_configuration(observations),
+        "sent to a leaving upstream": _sent_while_draining(observations),
+        "cut by a shutdown": _aborted_by_shutdown(observations),
+        "recovery": _recovery(observations),
     }
-    return {name: items[:SHOWN] for name, items in found.items() if items}
+    return {name: items[:MAX_SHOWN] for name, items in found.items() if items}
 
 
-def _runs(facts: Facts) -> dict[str, int]:
+def _runs(observations: SoakObservations) -> dict[str, int]:
     runs: dict[str, int] = {}
-    for upstream in facts.upstreams:
+    for upstream in observations.upstreams:
         for request_id, count in upstream.runs.items():
             runs[request_id] = runs.get(request_id, 0) + count
     return runs
 
 
-def _wrong_answers(facts: Facts) -> list[str]:
-    whole = [str(number).encode() for number in range(1, facts.events + 1)]
+def _wrong_responses(observations: SoakObservations) -> list[str]:
+    whole = [
+        str(number).encode() for number in range(1, observations.events + 1)
+    ]
     found = []
-    for call in facts.calls:
+    for call in observations.calls:
         if call.status != 200:
             continue
         numbers = _EVENT_NUMBER.findall(call.body)
@@ -129,34 +131,36 @@
     return found
 
 
-def _repeated_runs(facts: Facts) -> list[str]:
-    path_by_id = {call.request_id: call.path for call in facts.calls}
+def _repeated_runs(observations: SoakObservations) -> list[str]:
+    path_by_id = {call.request_id: call.path for call in observations.calls}
     return [
         f"{request_id}: {count} runs of {path_by_id.get(request_id)}"
-        for request_id, count in _runs(facts).items()
+        for request_id, count in _runs(observations).items()
         if count > 1 and path_by_id.get(request_id) in SINGLE_RUN_PATHS
     ]
 
 
-def _false_refusals(facts: Facts) -> list[str]:
-    runs = _runs(facts)
+def _false_refusals(observations: SoakObservations) -> list[str]:
+    runs = _runs(observations)
     return [
         f"{call.request_id}: {call.status} for {call.path}, "
         f"{runs[call.request_id]} runs"
-        for call in facts.calls
+        for call in observations.calls
         if call.status in NOT_RUN_STATUSES and runs.get(call.request_id)
     ]
 
 
-def _late_answers(facts: Facts) -> list[str]:
+def _late_responses(observations: SoakObservations) -> list[str]:
     found = []
-    for call in facts.calls:
-        due_at = call.sent_at + call.deadline_seconds + LATE_ANSWER_SECONDS
+    for call in observations.calls:
+        due_at = (
+            call.sent_at + call.deadline_seconds + MAX_RESPONSE_DELAY_SECONDS
+        )
         seen_at = min(call.ended_at, call.left_at)
         has_left = call.left_at < call.sent_at + call.deadline_seconds
         if has_left or seen_at == math.inf or seen_at <= due_at:
             continue
-        if facts.is_calm(call.sent_at, due_at, call.router_id):
+        if observations.is_fault_free(call.sent_at, due_at, call.router_id):
             found.append(
                 f"{call.request_id}: {call.status} at {call.router_id} after "
                 f"{seen_at - call.sent_at:.2f} s of {call.deadline_seconds} s"
@@ -164,36 +168,45 @@
     return found
 
 
-def _sent_after_leaving(facts: Facts) -> list[str]:
-    call_by_id = {call.request_id: call for call in facts.calls}
+def _sent_after_disconnect(observations: SoakObservations) -> list[str]:
+    call_by_id = {call.request_id: call for call in observations.calls}
     found = []
-    for upstream in facts.upstreams:
+    for upstream in observations.upstreams:
         for received in upstream.received:
             request_id = received.value_by_header.get("x-attempt-id", "")
             call = call_by_id.get(request_id)
-            if call is None or received.at <= call.left_at + LEFT_SECONDS:
+            if (
+                call is None
+                or received.at <= call.left_at + MAX_DISCONNECT_DELAY_SECONDS
+            ):
                 continue
-            if facts.is_calm(call.sent_at, received.at, call.router_id, "link"):
+            if observations.is_fault_free(
+                call.sent_at, received.at, call.router_id, "link"
+            ):
                 found.append(
                     f"{request_id}: {received.at - call.left_at:.2f} s after"
                 )
     return found
 
 
-def _old_configuration(facts: Facts) -> list[str]:
+def _old_configuration(observations: SoakObservations) -> list[str]:
     found = []
-    for call in facts.calls:
+    for call in observations.calls:
         if not call.path.startswith("/flip-") or call.status not in (200, 404):
             continue
-        flips = [item for item in facts.flips if item[0] <= call.ended_at]
-        since, number = flips[-1]
-        if len(flips) < 2 or call.sent_at < since + APPLY_SECONDS:
+        route_changes = [
+            item
+            for item in observations.route_changes
+            if item[0] <= call.ended_at
+        ]
+        since, number = route_changes[-1]
+        if len(route_changes) < 2 or call.sent_at < since + MAX_APPLY_SECONDS:
             continue
         expected = 200 if call.path == f"/flip-{number}/" else 404
-        is_calm = facts.is_calm(
+        is_fault_free = observations.is_fault_free(
             since, call.ended_at, call.router_id, "store", "link"
         )
-        if call.status != expected and is_calm:
+        if call.status != expected and is_fault_free:
             found.append(
                 f"{call.request_id}: {call.status} for {call.path} at "
                 f"{call.router_id}, {call.sent_at - since:.2f} s after"
@@ -201,49 +214,51 @@
     return found
 
 
-def _sent_while_draining(facts: Facts) -> list[str]:
+def _sent_while_draining(observations: SoakObservations) -> list[str]:
     found = []
-    upstream_by_id = {item.upstream_id: item for item in facts.upstreams}
-    for upstream_id, left_at, back_at in facts.drains:
-        since = left_at + DRAIN_SECONDS
+    upstream_by_id = {item.upstream_id: item for item in observations.upstreams}
+    for upstream_id, left_at, back_at in observations.drains:
+        since = left_at + MAX_DRAIN_DELAY_SECONDS
         found += [
             f"{received.value_by_header.get('x-attempt-id')}: at {upstream_id}"
             f" {received.at - left_at:.2f} s after"
             for received in upstream_by_id[upstream_id].received
             if since < received.at < back_at
-            and facts.is_calm(left_at, received.at, "store", "link")
+            and observations.is_fault_free(
+                left_at, received.at, "store", "link"
+            )
         ]
     return found
 
 
-def _cut_by_shutdown(facts: Facts) -> list[str]:
+def _aborted_by_shutdown(observations: SoakObservations) -> list[str]:
     """Describe requests that a graceful shutdown aborted.
 
     A request sent while the router closed the connection may not have been read
     and does not count; its caller can retry it.
     """
-    passed_on = {
+    forwarded_ids = {
         received.value_by_header.get("x-attempt-id")
-        for upstream in facts.upstreams
+        for upstream in observations.upstreams
         for received in upstream.received
     }
     found = []
-    for span in facts.spans:
+    for span in observations.spans:
         if span.kind != "terminate":
             continue
-        for call in facts.calls:
-            is_under_way = (
+        for call in observations.calls:
+            was_in_flight = (
                 call.router_id == span.subject
-                and call.is_closed_unanswered
+                and call.is_closed_early
                 and span.start - 0.5 <= call.sent_at
                 and call.ended_at <= span.end
                 and (
-                    call.request_id in passed_on
-                    or call.ended_at - call.sent_at > CROSSING_SECONDS
+                    call.request_id in forwarded_ids
+                    or call.ended_at - call.sent_at > CLOSE_RACE_SECONDS
                 )
             )
-            others = [item for item in facts.spans if item is not span]
-            if is_under_way and not any(
+            others = [item for item in observations.spans if item is not span]
+            if was_in_flight and not any(
                 item.overlaps(call.sent_at - 1.0, call.ended_at)
                 for item in others
             ):
@@ -251,16 +266,16 @@
     return found
 
 
-def _recovery(facts: Facts) -> list[str]:
+def _recovery(observations: SoakObservations) -> list[str]:
     calls = [
         call
-        for call in facts.calls
-        if call.sent_at > facts.faults_end_at
+        for call in observations.calls
+        if call.sent_at > observations.faults_end_at
         and not call.path.startswith("/flip-")
         and call.left_at == math.inf
         and call.ended_at < math.inf
     ]
     served = sum(call.status == 200 and call.is_complete for call in calls)
-    if calls and served >= SERVED_AFTER_FAULTS * len(calls):
+    if calls and served >= MIN_SERVED_FRACTION * len(calls):
         return []
     return [f"{served} of {len(calls)} requests served after the last fault"]
--- a/packages/standins/src/lacewingspar_standins/bench/soak_fleet.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_fleet.py
@@ -35,7 +35,7 @@
 STOP_GRACE_SECONDS = 4.0
 HEARTBEAT_SECONDS = 0.4
 # The entry of an upstream is removed after this long without a heartbeat.
-LAPSE_SECONDS = 3 * HEARTBEAT_SECONDS
+EXPIRY_SECONDS = 3 * HEARTBEAT_SECONDS
 READY_SECONDS = 30.0
 HISTORY_RECORDS = 400
 # Exceeds the deadlines of all callers.
@@ -75,7 +75,7 @@
         self.router_by_id: dict[str, RouterProcess] = {}
         self.draining: set[str] = set()
         self._address_by_link: dict[str, str] = {}
-        self._born_ms_by_upstream: dict[str, int] = {}
+        self._started_ms_by_upstream: dict[str, int] = {}
         self._down: set[str] = set()
         self._sequences = itertools.count(1)
         self._version = itertools.count(1)
@@ -90,8 +90,8 @@
             await upstream.async_start()
             self._stack.push_async_callback(upstream.async_stop)
             await self._async_link(f"upstream/{name}", upstream.address)
-            self._born_ms_by_upstream[name] = int(time.time() * 1000)
-            self.beat(name)
+            self._started_ms_by_upstream[name] = int(time.time() * 1000)
+            self.write_entry(name)
         for number in range(self._routers):
             data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
             plan = self._fleet.plan_router(f"r{number}", data_centre)
@@ -141,18 +141,18 @@
             self.plan_by_id[router_id].admin_address, READY_SECONDS, "/readyz"
         )
 
-    async def async_beat(self) -> None:
+    async def async_renew_entries(self) -> None:
         """Renew the entries of the upstreams until cancelled."""
         while True:
             await asyncio.sleep(HEARTBEAT_SECONDS)
             for name in self.upstream_by_id:
                 if name not in self._down:
-                    self.beat(name)
+                    self.write_entry(name)
             topic = self.store.topic("keyed.servers")
             if len(topic.records) > HISTORY_RECORDS:
                 topic.compact()
 
-    def beat(self, upstream_id: str) -> None:
+    def write_entry(self, upstream_id: str) -> None:
         """Write the entry of an upstream."""
         entry = upstream_entry(
             SERVICE_BY_UPSTREAM[upstream_id],
@@ -160,7 +160,7 @@
             next(self._sequences),
             zone=DATA_CENTRES[int(upstream_id[1:]) - 1],
             state="draining" if upstream_id in self.draining else "ready",
-            born=self._born_ms_by_upstream[upstream_id],
+            born=self._started_ms_by_upstream[upstream_id],
         )
         self.store.topic("keyed.servers").append(
             upstream_id, msgspec.json.encode(entry)
@@ -172,15 +172,15 @@
         _, _, port = upstream.address.rpartition(":")
         self._down.add(name)
         upstream.crash()
-        if seconds > LAPSE_SECONDS:
-            await asyncio.sleep(LAPSE_SECONDS)
+        if seconds > EXPIRY_SECONDS:
+            await asyncio.sleep(EXPIRY_SECONDS)
             self.store.topic("keyed.servers").append(name, b"")
-            seconds -= LAPSE_SECONDS
+            seconds -= EXPIRY_SECONDS
         await asyncio.sleep(seconds)
         await upstream.async_start(port=int(port))
-        self._born_ms_by_upstream[name] = int(time.time() * 1000)
+        self._started_ms_by_upstream[name] = int(time.time() * 1000)
         self._down.discard(name)
-        self.beat(name)
+        self.write_entry(name)
 
     def publish(self, number: int) -> None:
         """Publish a configuration with one of the flip routes."""
--- a/packages/standins/src/lacewingspar_standins/bench/synthetic_peers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/synthetic_peers.py
@@ -100,7 +100,7 @@
             now = time.monotonic()
             while due[0][0] <= now:
                 at, router_id = heapq.heappop(due)
-                self._beat(router_id, now)
+                self._send_heartbeats(router_id, now)
                 heapq.heappush(
                     due, (at + HEARTBEAT_INTERVAL_SECONDS, router_id)
                 )
@@ -120,7 +120,7 @@
                     self._applied_offset = message.members[0].applied_offset
                     self._merge(router_id, message, time.monotonic())
 
-    def _beat(self, router_id: str, now: float) -> None:
+    def _send_heartbeats(self, router_id: str, now: float) -> None:
         membership = self._membership_by_id[router_id]
         membership.update_own_record(RouterState.SERVING, self._applied_offset)
         heartbeat, receivers = membership.next_heartbeat(now)
--- a/packages/standins/src/lacewingspar_standins/demo/main.py
+++ b/packages/standins/src/lacewingspar_standins/demo/main.py
@@ -42,8 +42,8 @@
 EXIT_INTERRUPTED = 130
 DEFAULT_SECONDS = 20.0
 # The load continues after both failures, so that their effect is visible.
-KILL_AT_SHARE = 0.4
-TERMINATE_AT_SHARE = 0.6
+KILL_AT_FRACTION = 0.4
+TERMINATE_AT_FRACTION = 0.6
 KILLED_UPSTREAM = "west-engine-2"
 TERMINATED_ROUTER = "east-router-2"
 MAX_REQUESTS = 100_000
@@ -145,13 +145,13 @@
 
 async def _cause_failures(small_fleet: SmallFleet, seconds: float) -> None:
     """Kill an upstream and terminate a router during the load."""
-    await asyncio.sleep(seconds * KILL_AT_SHARE)
+    await asyncio.sleep(seconds * KILL_AT_FRACTION)
     typer.echo(f"SIGKILL to upstream {KILLED_UPSTREAM}")
     upstreams = {
         name: item for (_, name), item in small_fleet.upstreams.items()
     }
     upstreams[KILLED_UPSTREAM].kill()
-    await asyncio.sleep(seconds * (TERMINATE_AT_SHARE - KILL_AT_SHARE))
+    await asyncio.sleep(seconds * (TERMINATE_AT_FRACTION - KILL_AT_FRACTION))
     router = small_fleet.routers[TERMINATED_ROUTER]
     typer.echo(f"SIGTERM to router {TERMINATED_ROUTER}")
     router.terminate()
--- a/packages/standins/src/lacewingspar_standins/demo/samples.py
+++ b/packages/standins/src/lacewingspar_standins/demo/samples.py
@@ -14,7 +14,7 @@
 from lacewingspar_standins.fleet_settings import ADMIN_TOKEN, RouterPlan
 
 SAMPLE_SECONDS = 0.25
-READY_SECONDS = 0.1
+READY_POLL_SECONDS = 0.1
 SENT_BYTES_METRIC = "lacewingspar_peer_sent_bytes"
 
 
@@ -79,11 +79,11 @@
             # Without a ready router, keep the last addresses, so that requests
             # still get a response or a connection error.
             self.ready_addresses = addresses or self.ready_addresses
-            await asyncio.sleep(READY_SECONDS)
+            await asyncio.sleep(READY_POLL_SECONDS)
 
     async def _is_ready(self, plan: RouterPlan) -> bool:
-        answer = await self._get(f"http://{plan.admin_address}/ready")
-        return answer is not None and answer.status_code == 200
+        response = await self._get(f"http://{plan.admin_address}/ready")
+        return response is not None and response.status_code == 200
 
     async def _sample(self) -> Sample:
         sample = Sample(time.monotonic())
@@ -116,8 +116,8 @@
             name, _, value = line.rpartition(" ")
             if name.partition("{")[0] == SENT_BYTES_METRIC:
                 # Sums the lines of all message types.
-                known = sample.sent_bytes.get(router_id, 0)
-                sample.sent_bytes[router_id] = known + int(float(value))
+                previous = sample.sent_bytes.get(router_id, 0)
+                sample.sent_bytes[router_id] = previous + int(float(value))
 
     async def _add_upstream(
         self, sample: Sample, service: str, upstream_id: str
@@ -125,11 +125,11 @@
         standin = self._small_fleet.upstreams[(service, upstream_id)]
         if not standin.is_running:
             return
-        answer = await self._get(f"{standin.url}/load")
-        if answer is None:
+        response = await self._get(f"{standin.url}/load")
+        if response is None:
             return
         sample.slots[service] += self._small_fleet.slots_of(service)
-        sample.used[service] += answer.json()["running"]
+        sample.used[service] += response.json()["running"]
 
     async def _get(self, url: str) -> httpx.Response | None:
         headers = {"authorization": f"Bearer {ADMIN_TOKEN}"}
--- a/packages/standins/src/lacewingspar_standins/demo/verdict.py
+++ b/packages/standins/src/lacewingspar_standins/demo/verdict.py
@@ -17,9 +17,9 @@
 from lacewingspar_standins.load_result import LoadResult
 from lacewingspar_standins.process import RouterProcess
 
-CUT_LOG_LINE = b"request cut by shutdown"
+ABORT_LOG_EVENT = b"request cut by shutdown"
 # Outcomes for the caller when a router ends before its response does.
-CUT_OUTCOMES = (OUTCOME_BROKEN, "no_answer")
+ABORT_OUTCOMES = (OUTCOME_BROKEN, "no_answer")
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,13 +122,13 @@
     status = router.process.returncode
     if status != 0:
         failures.append(f"{router.name} has exit status {status}")
-    cut_lines = router.log_file.read_bytes().count(CUT_LOG_LINE)
-    if cut_lines:
-        failures.append(f"{router.name} logged {cut_lines} aborted requests")
+    abort_count = router.log_file.read_bytes().count(ABORT_LOG_EVENT)
+    if abort_count:
+        failures.append(f"{router.name} logged {abort_count} aborted requests")
     attempts = result.attempts_by_address.get(address, {})
     failures += [
         f"{attempts[outcome]} attempts at {router.name} ended as {outcome}"
-        for outcome in CUT_OUTCOMES
+        for outcome in ABORT_OUTCOMES
         if attempts.get(outcome)
     ]
     name = "the terminated router cut no request and exited with status 0"
--- a/tests/e2e/conftest.py
+++ b/tests/e2e/conftest.py
@@ -31,7 +31,7 @@
 )
 WORKSPACE = "ws"
 # Limit for waiting until a condition holds.
-LIMIT_SECONDS = 15.0
+WAIT_TIMEOUT_SECONDS = 15.0
 
 
 @dataclass(frozen=True)
--- a/tests/e2e/test_failures.py
+++ b/tests/e2e/test_failures.py
@@ -6,7 +6,7 @@
 
 import httpx
 import pytest
-from tests.e2e.conftest import LIMIT_SECONDS
+from tests.e2e.conftest import WAIT_TIMEOUT_SECONDS
 
 from lacewingspar_core.documents import dump_document
 from lacewingspar_standins.bench.deployment import SERVICE_CHAT
@@ -17,7 +17,7 @@
 
 
 async def wait_until(condition: Callable[[], Awaitable[bool]]) -> None:
-    async with asyncio.timeout(LIMIT_SECONDS):
+    async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
         while True:
             if await condition():
                 return
@@ -40,9 +40,9 @@
         codes: list[str] = []
 
         async def is_unknown() -> bool:
-            answer = await fleet.call(1, "k")
-            error = answer.json()["error"]
-            assert (answer.status_code, error["run"]) == (409, "unknown")
+            response = await fleet.call(1, "k")
+            error = response.json()["error"]
+            assert (response.status_code, error["run"]) == (409, "unknown")
             codes.append(error["code"])
             return codes[-1] == "outcome_unknown"
 
@@ -57,21 +57,21 @@
     async with caller() as fleet:
         await fleet.deployment.log.inject(outage=True)
         for router in range(3):
-            answer = await fleet.call(router, "k")
-            error = answer.json()["error"]
-            assert answer.status_code == 503
+            response = await fleet.call(router, "k")
+            error = response.json()["error"]
+            assert response.status_code == 503
             assert error["code"] == "claims_unavailable"
             assert error["run"] == "not_run"
-            assert int(answer.headers["retry-after"]) >= 1
+            assert int(response.headers["retry-after"]) >= 1
             assert (await fleet.chat(router)).status_code == 200
             assert (await fleet.call(router, None)).status_code == 200
         assert await fleet.runs("k") == 0
         await fleet.deployment.log.inject(outage=False)
 
-        async def is_answered() -> bool:
+        async def succeeds() -> bool:
             return (await fleet.call(0, "k")).status_code == 200
 
-        await wait_until(is_answered)
+        await wait_until(succeeds)
         assert await fleet.runs("k") == 1
 
 
@@ -86,10 +86,10 @@
         assert first.status_code == 200
 
         async def is_replayed() -> bool:
-            answer = await fleet.call(2, "k")
-            if answer.status_code == 200:
-                assert answer.content == first.content
-            return answer.status_code == 200
+            response = await fleet.call(2, "k")
+            if response.status_code == 200:
+                assert response.content == first.content
+            return response.status_code == 200
 
         await wait_until(is_replayed)
         assert (await log.get("/faults"))["lose_replies"] == 0
@@ -116,20 +116,20 @@
             "author": "operator",
             "document": document,
         }
-        answer = await client.put(url, json=body)
-        assert answer.status_code == 200
-        version = answer.json()["version"]
+        response = await client.put(url, json=body)
+        assert response.status_code == 200
+        version = response.json()["version"]
 
-        async def in_force(plan: Any) -> bool:
+        async def is_active(plan: Any) -> bool:
             found = await read_versions(client, plan)
             return found is not None and found[SERVICE_CHAT] == version
 
         for plan in deployment.plans:
-            await wait_until(lambda plan=plan: in_force(plan))
+            await wait_until(lambda plan=plan: is_active(plan))
         await deployment.log.inject(outage=True)
         router = deployment.routers[remote.router_id]
         router.kill()
         await router.wait()
         router = await deployment.start_router(remote)
-        await router.wait_ready(remote.admin_address, LIMIT_SECONDS)
-        assert await in_force(remote)
+        await router.wait_ready(remote.admin_address, WAIT_TIMEOUT_SECONDS)
+        assert await is_active(remote)
--- a/tests/e2e/test_main_job.py
+++ b/tests/e2e/test_main_job.py
@@ -64,11 +64,11 @@
     url = url_of(small_fleet, "east-router-1", "/v1/chat/completions")
     async with http.stream(
         "POST", url, json=chat("m1", 20), headers=HEADERS
-    ) as answer:
-        assert answer.status_code == 200
-        assert answer.headers["content-type"].startswith("text/event-stream")
-        lines = [line async for line in answer.aiter_lines()]
-    check_stream(lines, "m1", 20, answer.headers["x-request-id"])
+    ) as response:
+        assert response.status_code == 200
+        assert response.headers["content-type"].startswith("text/event-stream")
+        lines = [line async for line in response.aiter_lines()]
+    check_stream(lines, "m1", 20, response.headers["x-request-id"])
 
 
 @pytest.mark.parametrize("stream", [True, False])
@@ -82,7 +82,7 @@
     ) as client:
         assert [model.id async for model in client.models.list()] == [MODEL]
         marker = f"stock-{stream}"
-        answer: Any = await client.chat.completions.create(
+        response: Any = await client.chat.completions.create(
             model=MODEL,
             max_tokens=5,
             stream=stream,
@@ -90,10 +90,10 @@
         )
         if stream:
             texts = [
-                part.choices[0].delta.content or "" async for part in answer
+                part.choices[0].delta.content or "" async for part in response
             ]
         else:
-            texts = [answer.choices[0].message.content]
+            texts = [response.choices[0].message.content]
     expected = [f"{marker}:{number}" for number in range(5)]
     assert "".join(texts).split() == expected
 
@@ -116,18 +116,18 @@
 ) -> None:
     """Guards against a second run when a caller switches routers."""
     headers = {**HEADERS, "idempotency-key": "order-1"}
-    answers = []
+    responses = []
     for router_id in ("east-router-1", "west-router-1"):
         url = url_of(small_fleet, router_id, f"/services/{SERVICE_PLAIN}/pay")
         for _ in range(MAX_TRIES):
-            answer = await http.post(url, json={"sum": 1}, headers=headers)
+            response = await http.post(url, json={"sum": 1}, headers=headers)
             # The other router may not have read the outcome yet.
-            if answer.status_code != 409:
+            if response.status_code != 409:
                 break
-            assert answer.json()["error"]["code"] == "in_progress"
+            assert response.json()["error"]["code"] == "in_progress"
             await asyncio.sleep(0.05)
-        answers.append(answer)
-    first, second = answers
+        responses.append(response)
+    first, second = responses
     assert first.status_code == second.status_code == 200
     assert second.json() == first.json()
     assert second.headers["idempotent-replayed"] == "true"
@@ -175,11 +175,11 @@
     url = url_of(small_fleet, router_id, "/v1/chat/completions")
     async with http.stream(
         "POST", url, json=chat("m2", 100), headers=HEADERS
-    ) as answer:
-        lines = answer.aiter_lines()
+    ) as response:
+        lines = response.aiter_lines()
         received = [await anext(lines)]
         router.terminate()
         received += [line async for line in lines]
-    check_stream(received, "m2", 100, answer.headers["x-request-id"])
+    check_stream(received, "m2", 100, response.headers["x-request-id"])
     assert await router.wait() == 0
     assert b"request cut by shutdown" not in router.log_file.read_bytes()
--- a/tests/e2e/test_poison.py
+++ b/tests/e2e/test_poison.py
@@ -18,8 +18,8 @@
 
 # One workspace per caller, so that none exhausts its retry budget.
 CALLERS = [f"caller-{number}" for number in range(8)]
-REQUESTS_EACH = 6
-ATTACKS = 12
+REQUESTS_PER_CALLER = 6
+CRASHING_REQUESTS = 12
 READY_SECONDS = 30.0
 
 
@@ -61,12 +61,14 @@
     headers["authorization"] = f"Bearer {token_of(name)}"
     received = ""
     url = f"http://{address}/v1/chat/completions"
-    async with client.stream("POST", url, json=body, headers=headers) as answer:
+    async with client.stream(
+        "POST", url, json=body, headers=headers
+    ) as response:
         # An interrupted stream has no terminating chunk.
         with contextlib.suppress(httpx.RemoteProtocolError):
-            async for part in answer.aiter_text():
+            async for part in response.aiter_text():
                 received += part
-    return answer, received
+    return response, received
 
 
 async def test_crashing_request_costs_at_most_three_engines(
@@ -75,16 +77,16 @@
     """Guards against losing the pool to one caller that switches routers."""
 
     async def call(name: str, is_stream: bool) -> None:
-        for number in range(REQUESTS_EACH):
+        for number in range(REQUESTS_PER_CALLER):
             marker = f"{name}-{number}"
-            answer, body = await chat(
+            response, body = await chat(
                 client,
                 addresses[number % 2],
                 name,
                 f"marker={marker}",
                 stream=is_stream,
             )
-            assert answer.status_code == 200, body
+            assert response.status_code == 200, body
             assert marker in body
             if is_stream:
                 ends = ("data: [DONE]\n\n", "}}\n\n")
@@ -104,15 +106,15 @@
         ]
         refusals = [
             await chat(client, addresses[number % 2], "evil", "go boom")
-            for number in range(ATTACKS)
+            for number in range(CRASHING_REQUESTS)
         ]
         await asyncio.gather(*calls)
         lost = [engine.name for engine in engines if not engine.is_running]
 
     assert 1 <= len(lost) <= 3
     # The last two refusals come from different routers.
-    for answer, body in refusals[-2:]:
-        assert answer.status_code == 422
+    for response, body in refusals[-2:]:
+        assert response.status_code == 422
         assert '"code":"quarantined","' in body
         assert '"run":"not_run"' in body
-        assert int(answer.headers["retry-after"]) > 500
+        assert int(response.headers["retry-after"]) > 500
--- a/tests/standins/test_fault_checks.py
+++ b/tests/standins/test_fault_checks.py
@@ -9,13 +9,13 @@
 from lacewingspar_standins.bench.fault_actions import GracefulShutdown
 from lacewingspar_standins.bench.fault_checks import (
     UpstreamRuns,
-    answers_without_run,
     cut_by_shutdowns,
     differing_versions,
     repeated_runs,
+    responses_without_run,
     wrong_not_run,
 )
-from lacewingspar_standins.bench.fault_edits import VersionWatch
+from lacewingspar_standins.bench.fault_edits import VersionMonitor
 from lacewingspar_standins.bench.fault_plan import (
     FaultKind,
     Targets,
@@ -33,7 +33,7 @@
     load = LoadResult(0.0, {}, (), ("ran", "idle"), ("once", "never"), {}, 0.0)
     assert repeated_runs(runs) == ["ws/twice ran 2 times"]
     assert wrong_not_run([load], runs) == ["request ran ran 1 times"]
-    assert answers_without_run([load], runs) == [
+    assert responses_without_run([load], runs) == [
         "never was answered and never ran"
     ]
     versions: Any = {"a": {"chat": 3}, "b": {"chat": 2}, "c": None}
@@ -57,11 +57,11 @@
 
 def test_reverted_version_is_a_breach() -> None:
     """Guards against overlooking a version that reverts across a restart."""
-    watch = VersionWatch()
+    watch = VersionMonitor()
     for instance, version in ((1, 5), (1, 4), (2, 4), (2, 5)):
-        watch.note("r", cast(Any, instance), {"chat": version})
+        watch.record_versions("r", cast(Any, instance), {"chat": version})
     assert [text.rsplit(", ", 1)[1] for text in watch.reverted] == [
-        "same life",
+        "without restart",
         "after restart",
     ]
 
