--- a/packages/standins/src/lacewingspar_standins/bench/fault_edits.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_edits.py
@@ -98,7 +98,8 @@
                     "without restart" if seen_at is process else "after restart"
                 )
                 self.reverted.append(
-                    f"{router_id}: {service} from {newest} to {version}, {restart_note}"
+                    f"{router_id}: {service} from {newest} to {version}, "
+                    f"{restart_note}"
                 )
             if version >= newest:
                 self._seen[(router_id, service)] = (version, process)
