--- a/packages/standins/src/lacewingspar_standins/bench/balancer.py
+++ b/packages/standins/src/lacewingspar_standins/bench/balancer.py
@@ -6,7 +6,7 @@
 
 
 class LeastLoadedBalancer:
-    """Forwards each request to the target with the fewest in flight.
+    """Forwards each request to the target with the fewest requests.
 
     It counts only the requests that it forwards itself, because it shares no
     state with other balancers. Requests beyond a target's slots queue at the
--- a/packages/standins/src/lacewingspar_standins/bench/fault_checks.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_checks.py
@@ -107,7 +107,7 @@
 def responses_without_run(
     results: list[LoadResult], runs: UpstreamRuns
 ) -> list[str]:
-    """Describe calls that got a response but never ran."""
+    """Describe successful calls that never ran."""
     ran = {name.partition("/")[2] for name in runs.by_key}
     return [
         f"{key} was answered and never ran"
--- a/packages/standins/src/lacewingspar_standins/bench/propagation.py
+++ b/packages/standins/src/lacewingspar_standins/bench/propagation.py
@@ -66,7 +66,7 @@
 ) -> float:
     """Publish an edit and wait until it is active everywhere."""
     admin = deployment.plans[0].admin_address
-    answer = await client.get(f"http://{admin}/v1/services/{SERVICE_CHAT}")
+    response = await client.get(f"http://{admin}/v1/services/{SERVICE_CHAT}")
     weight = 1.0 + number / 100
     document = replace(
         deployment.documents[SERVICE_CHAT],
@@ -74,7 +74,7 @@
     )
     started_at = time.monotonic()
     accepted = await deployment.fleet.publish(
-        admin, document, answer.json()["version"]
+        admin, document, response.json()["version"]
     )
     async with asyncio.timeout(PROPAGATION_TIMEOUT_SECONDS):
         await asyncio.gather(
@@ -91,7 +91,7 @@
 ) -> None:
     url = f"http://{admin}/v1/services/{SERVICE_CHAT}"
     while True:
-        answer = await client.get(url)
-        if answer.json()["version"] >= version:
+        response = await client.get(url)
+        if response.json()["version"] >= version:
             return
         await asyncio.sleep(POLL_SECONDS)
--- a/packages/standins/src/lacewingspar_standins/bench/router_figures.py
+++ b/packages/standins/src/lacewingspar_standins/bench/router_figures.py
@@ -63,13 +63,13 @@
             router = deployment.routers[plan.router_id]
             if not router.is_running:
                 continue
-            answer = await client.get(f"http://{plan.admin_address}/metrics")
+            response = await client.get(f"http://{plan.admin_address}/metrics")
             process = await asyncio.to_thread(read_process, router.process.pid)
             counters[plan.router_id] = RouterCounters(
                 at_seconds=time.monotonic(),
-                sent_bytes=metric_by_type(answer.text, METRIC_SENT_BYTES),
+                sent_bytes=metric_by_type(response.text, METRIC_SENT_BYTES),
                 received_bytes=metric_by_type(
-                    answer.text, METRIC_RECEIVED_BYTES
+                    response.text, METRIC_RECEIVED_BYTES
                 ),
                 cpu_seconds=process[0],
                 memory_bytes=process[1],
--- a/packages/standins/src/lacewingspar_standins/bench/share.py
+++ b/packages/standins/src/lacewingspar_standins/bench/share.py
@@ -243,9 +243,11 @@
 
 async def _async_served(standins: Sequence[StandInProcess]) -> dict[str, float]:
     total: dict[str, float] = {}
-    answers = await asyncio.gather(*(s.get("/accounts") for s in standins))
-    for answer in answers:
-        served = msgspec.convert(answer["seconds_by_account"], dict[str, float])
+    responses = await asyncio.gather(*(s.get("/accounts") for s in standins))
+    for response in responses:
+        served = msgspec.convert(
+            response["seconds_by_account"], dict[str, float]
+        )
         for workspace, amount in served.items():
             total[workspace] = total.get(workspace, 0.0) + amount
     return total
--- a/packages/standins/src/lacewingspar_standins/demo/verdict.py
+++ b/packages/standins/src/lacewingspar_standins/demo/verdict.py
@@ -72,7 +72,7 @@
 
 
 def check_duplicates(result: LoadResult, runs: Runs) -> Check:
-    """Check that keyed calls ran at most once, and once if answered."""
+    """Check that keyed calls ran at most once, and once if successful."""
     failures = [
         f"key {key} ran {count} times"
         for key, count in runs.by_key.items()
@@ -81,7 +81,7 @@
     # Routers prefix the key with the workspace.
     run_keys = {key.partition("/")[2] for key in runs.by_key}
     failures += [
-        f"key {key} got a response but did not run"
+        f"key {key} succeeded but did not run"
         for key in result.answered_keys
         if key not in run_keys
     ]
