--- a/packages/standins/src/lacewingspar_standins/bench/faults.py
+++ b/packages/standins/src/lacewingspar_standins/bench/faults.py
@@ -1,4 +1,4 @@
-"""Benchmark `faults`: what a fleet keeps while its parts fail."""
+"""Benchmark `faults`: guarantees of a fleet under faults."""
 
 import asyncio
 import os
@@ -19,18 +19,18 @@
     data_centre_of,
     deployed,
 )
-from lacewingspar_standins.bench.fault_actions import FaultActions
+from lacewingspar_standins.bench.fault_actions import FaultInjector
 from lacewingspar_standins.bench.fault_checks import (
-    answers_without_run,
     async_read_runs,
     cut_by_shutdowns,
     differing_versions,
     repeated_runs,
+    responses_without_run,
     wrong_not_run,
 )
 from lacewingspar_standins.bench.fault_edits import (
     POLL_TIMEOUT_SECONDS,
-    VersionWatch,
+    VersionMonitor,
     admin_client,
     async_lost_edits,
     read_versions,
@@ -54,12 +54,12 @@
 WARM_UP_SECONDS = 2.0
 SETTLE_SECONDS = 2.0
 READY_SECONDS = 60.0
-# A fault ends within its own time and the longest graceful shutdown.
+# Exceeds the longest fault plus the longest graceful shutdown.
 ROUND_LIMIT_SECONDS = 180.0
 LOAD_TIMEOUT_SECONDS = 40.0
 LOAD_END_LIMIT_SECONDS = 300.0
 LIMITS = Limits(silent_after_seconds=5.0)
-SHOWN_DETAILS = 5
+MAX_SHOWN_DETAILS = 5
 
 
 class FaultsResult(msgspec.Struct, frozen=True, kw_only=True):
@@ -68,14 +68,15 @@
     Attributes:
         deployment: Name of the deployment.
         seed: Seed.
-        faults: Faults by round.
+        faults: Faults of each round.
         calls_by_outcome: Requests of the load by outcome.
         keys_run: Number of idempotency keys that ran.
         readings: Number of readings of versions.
-        breaches: Descriptions by check; all must be empty.
-        gap_seconds_by_data_centre: Longest time without a complete answer.
-        shutdown_seconds: Times of graceful shutdowns.
-        edits_by_status: Edits by HTTP status, 0 for none.
+        breaches: Descriptions of violations by check; all must be empty.
+        gap_seconds_by_data_centre: Longest time without a complete
+            response.
+        shutdown_seconds: Durations of graceful shutdowns.
+        edits_by_status: Edits by HTTP status, 0 without a response.
     """
 
     deployment: str
@@ -91,7 +92,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """Return whether no check found a breach."""
+        """Return whether no check found a violation."""
         return not any(self.breaches.values())
 
 
@@ -104,7 +105,7 @@
         Path | None, typer.Option(help="Folder that keeps all logs.")
     ] = None,
 ) -> None:
-    """Break parts of a fleet under load and check what it guarantees."""
+    """Inject faults into a fleet under load and check its guarantees."""
     result = asyncio.run(async_faults(deployment, seed, rounds, keep_logs))
     if output is not None:
         output.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
@@ -125,41 +126,41 @@
         limits=LIMITS,
         folder=folder,
     ) as deployment:
-        actions = FaultActions(deployment, seed)
-        await actions.async_list_vms()
+        injector = FaultInjector(deployment, seed)
+        await injector.async_list_vms()
         planned = draw_rounds(
             seed, rounds, deployment.shape, _targets(deployment)
         )
-        watch = VersionWatch()
-        watching = asyncio.create_task(watch.async_run(deployment))
+        monitor = VersionMonitor()
+        monitor_task = asyncio.create_task(monitor.async_run(deployment))
         loads = await _async_start_loads(deployment, seed)
         await asyncio.sleep(WARM_UP_SECONDS)
         for number, faults in enumerate(planned):
-            await _async_round(deployment, actions, number, faults)
+            await _async_round(deployment, injector, number, faults)
         for load in loads.values():
             load.process.terminate()
         async with asyncio.timeout(LOAD_END_LIMIT_SECONDS):
             results = {dc: await load.result() for dc, load in loads.items()}
-        watching.cancel()
+        monitor_task.cancel()
         return await _async_result(
-            deployment, seed, planned, actions, watch, results
+            deployment, seed, planned, injector, monitor, results
         )
 
 
 async def _async_round(
     deployment: Deployment,
-    actions: FaultActions,
+    injector: FaultInjector,
     number: int,
     faults: tuple[PlannedFault, ...],
 ) -> None:
-    """Apply the faults of a round and wait until all routers are ready."""
+    """Inject the faults of a round and wait until all routers are ready."""
     started_at = time.monotonic()
     async with (
         asyncio.timeout(ROUND_LIMIT_SECONDS),
         asyncio.TaskGroup() as group,
     ):
         for fault in faults:
-            group.create_task(actions.async_apply(fault))
+            group.create_task(injector.async_apply(fault))
     for plan in deployment.plans:
         router = deployment.routers[plan.router_id]
         await router.wait_ready(plan.admin_address, READY_SECONDS)
@@ -190,7 +191,7 @@
                 )
                 for name in WORKSPACES
             ),
-            # Markers and keys carry the seed, so it differs between loads.
+            # Markers and keys contain the seed and must differ between loads.
             seed=seed * 100 + index,
             max_requests=1_000_000,
             max_seconds=100_000,
@@ -200,7 +201,7 @@
             model=MODEL,
             plain_path=f"/services/{SERVICE_PLAIN}/work",
             median_tokens=40,
-            # Long enough that a killed router mostly leaves a call running.
+            # Long enough that a killed router usually has a call in flight.
             work_ms=300,
         )
         loads[data_centre] = await start_load(
@@ -213,13 +214,13 @@
     deployment: Deployment,
     seed: int,
     planned: list[tuple[PlannedFault, ...]],
-    actions: FaultActions,
-    watch: VersionWatch,
+    injector: FaultInjector,
+    monitor: VersionMonitor,
     results: dict[str, LoadResult],
 ) -> FaultsResult:
-    """Compare what callers were told with what upstreams ran."""
+    """Compare the responses to callers with the runs of the upstreams."""
     runs = await async_read_runs(deployment)
-    observed = actions.observed
+    observed = injector.observed
     loads = list(results.values())
     async with admin_client(POLL_TIMEOUT_SECONDS) as client:
         versions = {
@@ -237,15 +238,15 @@
         faults=[[str(fault) for fault in faults] for faults in planned],
         calls_by_outcome=dict(calls),
         keys_run=len(runs.by_key),
-        readings=watch.readings,
+        readings=monitor.readings,
         breaches={
             "calls that ran more than once": repeated_runs(runs),
             "not_run answers of requests that ran": wrong_not_run(loads, runs),
-            "answers without a run": answers_without_run(loads, runs),
+            "answers without a run": responses_without_run(loads, runs),
             "wrong or incomplete answers": [
                 problem for load in loads for problem in load.problems
             ],
-            "versions that reverted": watch.reverted,
+            "versions that reverted": monitor.reverted,
             "versions that differ at the end": differing_versions(
                 versions, newest
             ),
@@ -257,7 +258,7 @@
                 *observed.cut_requests,
                 *cut_by_shutdowns(loads, observed.shutdowns),
             ],
-            "late work at leaving upstreams": observed.late_work,
+            "late work at leaving upstreams": observed.late_requests,
         },
         gap_seconds_by_data_centre={
             data_centre: result.longest_gap_seconds
@@ -288,5 +289,5 @@
         typer.echo(f"graceful shutdown took {seconds:.2f} s")
     for check, details in result.breaches.items():
         typer.echo(f"{check}: {len(details)}")
-        for detail in details[:SHOWN_DETAILS]:
+        for detail in details[:MAX_SHOWN_DETAILS]:
             typer.echo(f"  {detail}")
--- a/packages/standins/src/lacewingspar_standins/bench/gossip.py
+++ b/packages/standins/src/lacewingspar_standins/bench/gossip.py
@@ -1,4 +1,4 @@
-"""Many member tables in one process, in simulated time."""
+"""Simulation of heartbeats between many member tables."""
 
 import random
 import time
@@ -18,23 +18,23 @@
     encode_message,
 )
 
-# Part of the interval by which the wait between two beats varies.
-_BEAT_JITTER = 0.05
+# Random variation of the heartbeat interval, as a fraction of it.
+_HEARTBEAT_JITTER_FRACTION = 0.05
 
 
 @dataclass(slots=True)
 class GossipFigures:
-    """Figures of one run.
+    """Results of one simulation.
 
     Attributes:
         sent_bytes: Bytes of all heartbeats.
         messages: Number of heartbeats.
-        cpu_seconds: Processor time of the first router for its heartbeats.
-        local_misses: How often a live router of the own data centre was not
-            seen as alive, over all beats of all routers.
+        cpu_seconds: Processor time that the first router spends on heartbeats.
+        local_misses: Number of times that a live router of the same data
+            centre was not seen as alive, checked at every heartbeat.
         remote_misses: The same for routers of other data centres.
-        suspected_seconds: Time from a failure until each other router of the
-            data centre had seen it.
+        suspected_seconds: Time from a failure until its detection, for each
+            other router of the data centre.
     """
 
     sent_bytes: int = 0
@@ -46,13 +46,13 @@
 
 
 class GossipFleet:
-    """Routers that exchange only heartbeats, without delay.
+    """Simulates routers that exchange heartbeats without delay.
 
     Args:
         routers: Number of routers.
-        data_centres: Number of data centres that share them evenly.
-        seed: Seed of phases and receivers.
-        loss: Part of the heartbeats that is lost.
+        data_centres: Number of data centres, with equal numbers of routers.
+        seed: Seed of heartbeat phases and receivers.
+        loss: Fraction of the heartbeats that is lost.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         ]
         table = Heartbeat(tuple(records))
         self.membership_by_id: dict[str, Membership] = {}
-        self._next_beat_by_id: dict[str, float] = {}
+        self._next_heartbeat_by_id: dict[str, float] = {}
         for index, record in enumerate(records):
             membership = Membership(
                 record, (), random.Random(seed * 1009 + index)
@@ -75,19 +75,19 @@
             membership.merge(table, 0.0)
             router_id = record.life.router_id
             self.membership_by_id[router_id] = membership
-            self._next_beat_by_id[router_id] = self._generator.random()
+            self._next_heartbeat_by_id[router_id] = self._generator.random()
         self.first_id = records[0].life.router_id
 
     def run(self, seconds: float) -> None:
-        """Let simulated time pass."""
-        for router_id in self._beats(self.now + seconds):
-            self._beat(router_id)
+        """Advance the simulated time."""
+        for router_id in self._due_routers(self.now + seconds):
+            self._send_heartbeats(router_id)
             self._count_misses(router_id)
 
     def fail(self, router_id: str, seconds: float) -> None:
-        """Stop a router and note when its data centre sees that."""
+        """Stop a router and measure when its data centre detects it."""
         failed = self.membership_by_id.pop(router_id)
-        del self._next_beat_by_id[router_id]
+        del self._next_heartbeat_by_id[router_id]
         failed_at = self.now
         unaware = {
             other
@@ -95,31 +95,32 @@
             if membership.own_record.data_centre
             == failed.own_record.data_centre
         }
-        for other in self._beats(self.now + seconds):
-            self._beat(other)
+        for other in self._due_routers(self.now + seconds):
+            self._send_heartbeats(other)
             alive = self.membership_by_id[other].alive(self.now)
             if other in unaware and router_id not in alive:
                 unaware.remove(other)
                 self.figures.suspected_seconds.append(self.now - failed_at)
         self.figures.suspected_seconds += [seconds] * len(unaware)
 
-    def _beats(self, until: float) -> Iterator[str]:
-        """Yield the routers in the order of their beats."""
+    def _due_routers(self, until: float) -> Iterator[str]:
+        """Yield the routers in the order of their heartbeats."""
         while True:
             router_id = min(
-                self._next_beat_by_id, key=self._next_beat_by_id.__getitem__
+                self._next_heartbeat_by_id,
+                key=self._next_heartbeat_by_id.__getitem__,
             )
-            if self._next_beat_by_id[router_id] >= until:
+            if self._next_heartbeat_by_id[router_id] >= until:
                 self.now = until
                 return
-            self.now = self._next_beat_by_id[router_id]
-            jitter = 1 + self._generator.uniform(0, _BEAT_JITTER)
-            self._next_beat_by_id[router_id] += (
+            self.now = self._next_heartbeat_by_id[router_id]
+            jitter = 1 + self._generator.uniform(0, _HEARTBEAT_JITTER_FRACTION)
+            self._next_heartbeat_by_id[router_id] += (
                 HEARTBEAT_INTERVAL_SECONDS * jitter
             )
             yield router_id
 
-    def _beat(self, router_id: str) -> None:
+    def _send_heartbeats(self, router_id: str) -> None:
         started_at = time.process_time()
         membership = self.membership_by_id[router_id]
         heartbeat, receivers = membership.next_heartbeat(self.now)
@@ -162,7 +163,7 @@
 
 
 def member_record(index: int, data_centres: int) -> MemberRecord:
-    """Return the record of a router that serves."""
+    """Return the member record of a serving router."""
     data_centre = f"dc-{index % data_centres + 1}"
     return MemberRecord(
         life=RouterInstance(
--- a/packages/standins/src/lacewingspar_standins/bench/path_client.py
+++ b/packages/standins/src/lacewingspar_standins/bench/path_client.py
@@ -1,4 +1,4 @@
-"""Client of the benchmark `path`."""
+"""HTTP client of the benchmark `path`."""
 
 import asyncio
 import random
@@ -22,24 +22,24 @@
     encode_request,
 )
 
-_EVENT_MARK = b"data: "
+_EVENT_PREFIX = b"data: "
 # The last event and the end marker carry no token.
 _EVENTS_WITHOUT_TOKEN = 2
 ERROR_PAUSE_SECONDS = 0.1
 
 
 class PathError(Exception):
-    """An answer of the benchmark is not what it should be."""
+    """A response is incomplete or invalid."""
 
 
 @dataclass(slots=True)
 class Times:
-    """Times in milliseconds on the way between client and engine.
+    """Transit times between client and engine, in milliseconds.
 
     Attributes:
-        whole: Way to the engine and back, for whole answers.
-        first_event: Way to the engine and back to the first event.
-        event: Way back of each part of a stream.
+        whole: Both directions, for non-streaming responses.
+        first_event: Both directions, for the first event of a stream.
+        event: From the engine to the client, for each chunk of a stream.
     """
 
     whole: list[float] = field(default_factory=list)
@@ -51,19 +51,19 @@
     """Sends chat requests to one address.
 
     Args:
-        address: Where the requests go as `host:port`.
+        address: Target address as `host:port`.
         model: Model of the requests.
 
     Attributes:
-        times: Times on the way.
-        answers: Number of complete answers.
+        times: Transit times.
+        responses: Number of complete responses.
         events: Number of token events received.
-        errors: Requests of closed loops that failed, and why.
+        errors: Errors of failed requests in closed loops.
     """
 
     def __init__(self, address: str, model: str) -> None:
         self.times = Times()
-        self.answers = 0
+        self.responses = 0
         self.events = 0
         self.errors: list[str] = []
         self._address = address
@@ -75,7 +75,7 @@
         self._pool.close()
 
     async def whole(self, tokens: int) -> None:
-        """Send a request that is answered whole."""
+        """Send a request with a non-streaming response."""
         connection = await self._pool.acquire(self._address)
         try:
             started_ns = time.monotonic_ns()
@@ -85,46 +85,48 @@
             ended_ns = time.monotonic_ns()
             arrived_ns = int(connection.headers[HEADER_ARRIVED])
             sent_ns = int(connection.headers[HEADER_SENT])
-            way_ns = arrived_ns - started_ns + ended_ns - sent_ns
-            self.times.whole.append(way_ns / 1e6)
-            self.answers += 1
+            transit_ns = arrived_ns - started_ns + ended_ns - sent_ns
+            self.times.whole.append(transit_ns / 1e6)
+            self.responses += 1
         finally:
             self._pool.release(self._address, connection)
 
     async def stream(self, tokens: int) -> None:
-        """Send a request that is answered as an event stream."""
+        """Send a request with an event stream as response."""
         async for _ in self.parts(tokens):
             pass
 
     async def parts(self, tokens: int) -> AsyncGenerator[None, None]:
-        """Send a request and yield at each part of its event stream.
+        """Send a request and yield at each chunk of its event stream.
 
         Raises:
-            PathError: The stream is not complete.
+            PathError: The stream is incomplete.
         """
         connection = await self._pool.acquire(self._address)
         try:
             started_ns = time.monotonic_ns()
             await self._send(connection, tokens, stream=True)
             arrived_ns = int(connection.headers[HEADER_ARRIVED])
-            way_there_ms = (arrived_ns - started_ns) / 1e6
+            request_transit_ms = (arrived_ns - started_ns) / 1e6
             count = 0
             last = b""
             async for part in connection.parts():
                 delays = _delays_ms(part)
                 if count == 0 and delays:
-                    self.times.first_event.append(way_there_ms + delays[0])
+                    self.times.first_event.append(
+                        request_transit_ms + delays[0]
+                    )
                 self.times.event += delays
-                arrived = part.count(_EVENT_MARK)
+                arrived = part.count(_EVENT_PREFIX)
                 count += arrived
                 self.events += arrived
                 last = part
                 yield
             if not last.endswith(END_OF_STREAM):
-                raise PathError("stream ends without its end marker")
+                raise PathError("stream ended without its end marker")
             if count != tokens + _EVENTS_WITHOUT_TOKEN:
                 raise PathError(f"{count} events for {tokens} tokens")
-            self.answers += 1
+            self.responses += 1
         finally:
             self._pool.release(self._address, connection)
 
@@ -157,14 +159,14 @@
 async def run_open_loop(
     client: PathClient, plan: "OpenLoop", *, stream: bool
 ) -> None:
-    """Send requests at random times, with random numbers of tokens."""
-    draw = random.Random(plan.seed)
+    """Send requests at random times with random numbers of tokens."""
+    generator = random.Random(plan.seed)
     due_at = time.monotonic()
     ends_at = due_at + plan.seconds
     async with asyncio.TaskGroup() as group:
         while True:
-            due_at += draw.expovariate(plan.requests_per_second)
-            tokens = draw.randint(
+            due_at += generator.expovariate(plan.requests_per_second)
+            tokens = generator.randint(
                 plan.mean_tokens // 2, plan.mean_tokens * 3 // 2
             )
             if due_at >= ends_at:
@@ -182,7 +184,7 @@
     tokens: int,
     stream: bool,
 ) -> None:
-    """Send requests one after the other with a number of clients."""
+    """Run several clients that each send one request at a time."""
     ends_at = time.monotonic() + seconds
 
     async def run_client() -> None:
@@ -200,7 +202,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenLoop:
-    """Requests at random times.
+    """Load with random arrival times.
 
     Attributes:
         seed: Seed of the times and numbers of tokens.
--- a/packages/standins/src/lacewingspar_standins/bench/propagation.py
+++ b/packages/standins/src/lacewingspar_standins/bench/propagation.py
@@ -1,4 +1,4 @@
-"""Benchmark `propagation`: time until an edit is in force at every router."""
+"""Benchmark `propagation`: time until an edit is active at every router."""
 
 import asyncio
 import statistics
@@ -19,8 +19,8 @@
 
 STEP_MS = 10.0
 POLL_SECONDS = 0.005
-# Longer than the limit that operators are promised.
-GIVE_UP_SECONDS = 30.0
+# Exceeds the propagation time that operators are promised.
+PROPAGATION_TIMEOUT_SECONDS = 30.0
 
 
 def main(
@@ -28,15 +28,15 @@
     edits: Annotated[int, typer.Option(help="Number of edits.")] = 20,
     cut_platform: Annotated[
         bool,
-        typer.Option(help="Cut the last data centre off from the platform."),
+        typer.Option(help="Disconnect the last data centre from the platform."),
     ] = False,
 ) -> None:
-    """Measure how long an accepted edit takes to be in force everywhere."""
+    """Measure how long an accepted edit takes to be active everywhere."""
     times = asyncio.run(async_propagation(deployment, edits, cut_platform))
     typer.echo(
         f"{len(times)} edits, deployment {deployment}, "
         f"last data centre cut off from the platform: {cut_platform}; "
-        f"in force everywhere after median {statistics.median(times):.3f} s, "
+        f"active everywhere after median {statistics.median(times):.3f} s, "
         f"longest {max(times):.3f} s"
     )
 
@@ -44,7 +44,7 @@
 async def async_propagation(
     name: str, edits: int, cut_platform: bool
 ) -> list[float]:
-    """Return the time from publishing to force at all routers, in seconds."""
+    """Return the seconds from publication until active at all routers."""
     shape = SHAPES_BY_NAME[name]
     workspaces = (workspace_entry("ws-01"),)
     async with (
@@ -64,9 +64,9 @@
 async def _async_edit(
     deployment: Deployment, client: httpx.AsyncClient, number: int
 ) -> float:
-    """Publish one edit and wait until it is in force everywhere."""
+    """Publish an edit and wait until it is active everywhere."""
     admin = deployment.plans[0].admin_address
-    answer = await client.get(f"http://{admin}/v1/services/{SERVICE_CHAT}")
+    response = await client.get(f"http://{admin}/v1/services/{SERVICE_CHAT}")
     weight = 1.0 + number / 100
     document = replace(
         deployment.documents[SERVICE_CHAT],
@@ -74,9 +74,9 @@
     )
     started_at = time.monotonic()
     accepted = await deployment.fleet.publish(
-        admin, document, answer.json()["version"]
+        admin, document, response.json()["version"]
     )
-    async with asyncio.timeout(GIVE_UP_SECONDS):
+    async with asyncio.timeout(PROPAGATION_TIMEOUT_SECONDS):
         await asyncio.gather(
             *(
                 _async_wait_for(client, plan.admin_address, accepted["version"])
@@ -91,7 +91,7 @@
 ) -> None:
     url = f"http://{admin}/v1/services/{SERVICE_CHAT}"
     while True:
-        answer = await client.get(url)
-        if answer.json()["version"] >= version:
+        response = await client.get(url)
+        if response.json()["version"] >= version:
             return
         await asyncio.sleep(POLL_SECONDS)
--- a/packages/standins/src/lacewingspar_standins/bench/soak.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak.py
@@ -1,11 +1,11 @@
-"""Benchmark `soak`: random faults from outside against a platform fleet.
+"""Benchmark `soak`: random faults in a fleet on the platform.
 
-Routers run as processes; the store, the upstreams and the links between all
-parts run here, where faults are put into them. Faults come in series and
-overlap. Callers keep their connections until these are closed.
+Routers run as processes. The store, the upstreams and the links between them
+run in this process, which injects faults into them. Faults can overlap and
+follow each other. Callers keep their connections until these are closed.
 
-The routers keep nothing on disk and compare no clocks of several VMs, so that
-neither is disturbed.
+Disk and clock faults are not injected, because routers keep nothing on disk and
+don't compare clocks of different VMs.
 """
 
 import asyncio
@@ -20,7 +20,11 @@
 import typer
 
 from lacewingspar_standins.bench.soak_callers import SoakCallers
-from lacewingspar_standins.bench.soak_checks import Facts, Span, breaches
+from lacewingspar_standins.bench.soak_checks import (
+    SoakObservations,
+    Span,
+    breaches,
+)
 from lacewingspar_standins.bench.soak_fleet import (
     EVENTS,
     STOP_GRACE_SECONDS,
@@ -32,17 +36,17 @@
 DEFAULT_ROUTERS = 5
 DEFAULT_ROUNDS = 6
 CALLERS_PER_ROUTER = 5
-# Length of a round; its faults begin at any moment of it.
+# Faults start at random times within a round.
 ROUND_SECONDS = 3.0
 WARM_UP_SECONDS = 2.0
-# Time in which the fleet notices the end of a fault.
-NOTICE_SECONDS = 3.5
-# Time from the last fault until everything is served again, and for which that
-# is checked.
+# Time until the fleet has detected the end of a fault.
+DETECTION_SECONDS = 3.5
+# The fleet has this long to recover from the last fault; then requests are
+# checked for the following time.
 RECOVERY_SECONDS = 6.0
-CHECKED_SECONDS = 3.0
+RECOVERY_CHECK_SECONDS = 3.0
 
-# Field of a fault set and its value.
+# Name and value of a field of `Faults`.
 Fault = tuple[str, Any]
 
 
@@ -51,9 +55,9 @@
     """Result of a soak.
 
     Attributes:
-        faults: Faults in order of their begin.
-        calls_by_status: Requests by status, 0 without an answer.
-        breaches: What was broken, by check.
+        faults: Faults in the order in which they ended.
+        calls_by_status: Requests by status, 0 without a response.
+        breaches: Descriptions of violations by check.
     """
 
     faults: list[str]
@@ -62,19 +66,19 @@
 
 
 class Soak:
-    """Applies faults and notes when.
+    """Injects faults and records when.
 
     Attributes:
         fleet: The deployment.
-        spans: Disturbances so far.
-        flips: Time and number of each configuration.
-        drains: Announced departures of upstreams.
+        spans: Faults so far.
+        route_changes: Time and route number of each published configuration.
+        drains: Drained upstreams with the start and end of each drain.
     """
 
     def __init__(self, fleet: SoakFleet) -> None:
         self.fleet = fleet
         self.spans: list[Span] = []
-        self.flips: list[tuple[float, int]] = [(self.now, 0)]
+        self.route_changes: list[tuple[float, int]] = [(self.now, 0)]
         self.drains: list[tuple[str, float, float]] = []
         self._busy: set[str] = set()
 
@@ -84,27 +88,27 @@
         return asyncio.get_running_loop().time()
 
     async def async_apply(
-        self, disturbance: "Disturbance", generator: random.Random
+        self, scenario: "FaultScenario", generator: random.Random
     ) -> None:
-        """Disturb a part that nothing else disturbs, and note when."""
-        parts = disturbance.parts(self.fleet)
+        """Inject a fault into a random part without a fault."""
+        parts = scenario.parts(self.fleet)
         free = sorted(set(parts) - self._busy)
-        if len(free) < disturbance.least_free:
+        if len(free) < scenario.min_free:
             return
         name = generator.choice(free)
-        kind, fault = disturbance.kind, ("", None)
-        if disturbance.faults:
-            fault = generator.choice(disturbance.faults)
+        kind, fault = scenario.kind, ("", None)
+        if scenario.faults:
+            fault = generator.choice(scenario.faults)
             kind = fault[0]
         start = self.now
         self._busy.add(name)
         typer.echo(f"  {kind} {name}", err=True)
         try:
-            await disturbance.work(self, name, fault, generator)
+            await scenario.work(self, name, fault, generator)
         finally:
             self._busy.discard(name)
-            end = self.now + NOTICE_SECONDS
-            subject = disturbance.subject or name
+            end = self.now + DETECTION_SECONDS
+            subject = scenario.subject or name
             self.spans.append(Span(subject, kind, start, end))
 
 
@@ -112,17 +116,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Disturbance:
-    """A way to disturb one part of the deployment.
+class FaultScenario:
+    """A kind of fault that can be injected into a part of the deployment.
 
     Attributes:
-        kind: Name of the fault, unless it is one of `faults`.
-        parts: Returns the names of the parts that it may disturb.
-        work: Disturbs a part and returns when that is over.
-        faults: Faults, of which one is drawn, or none.
-        subject: What callers may notice, if it is not the part itself.
-        least_free: Undisturbed parts that there must be before. By default one
-            is left afterwards.
+        kind: Name of the fault, unless it is drawn from `faults`.
+        parts: Returns the names of the parts that it can affect.
+        work: Injects the fault into a part, reverts it and returns.
+        faults: Faults to draw one from, or empty.
+        subject: Subject of the recorded span, if not the part itself.
+        min_free: Minimum number of parts without a fault before the
+            injection. The default leaves one such part afterwards.
     """
 
     kind: str
@@ -130,7 +134,7 @@
     work: Work
     faults: tuple[Fault, ...] = ()
     subject: str = ""
-    least_free: int = 2
+    min_free: int = 2
 
 
 def _routers(fleet: SoakFleet) -> Collection[str]:
@@ -185,7 +189,7 @@
     soak: Soak, name: str, fault: Fault, generator: random.Random
 ) -> None:
     link = soak.fleet.link_by_name[name]
-    with _in_force(link.faults, fault):
+    with _active_fault(link.faults, fault):
         link.faults_changed()
         await asyncio.sleep(generator.uniform(0.2, 3.0))
 
@@ -198,7 +202,7 @@
         for topic in store.topic_by_name.values():
             topic.compact()
         return
-    with _in_force(store.faults, fault):
+    with _active_fault(store.faults, fault):
         store.faults_changed()
         await asyncio.sleep(generator.uniform(0.3, 3.0))
 
@@ -206,13 +210,13 @@
 async def _async_upstream(
     soak: Soak, name: str, fault: Fault, generator: random.Random
 ) -> None:
-    with _in_force(soak.fleet.upstream_by_id[name].faults, fault):
+    with _active_fault(soak.fleet.upstream_by_id[name].faults, fault):
         await asyncio.sleep(generator.uniform(0.2, 2.0))
 
 
 @contextmanager
-def _in_force(faults: Faults, fault: Fault) -> Iterator[None]:
-    """Put a fault in force, and take it back."""
+def _active_fault(faults: Faults, fault: Fault) -> Iterator[None]:
+    """Activate a fault until the context ends."""
     field, value = fault
     normal = getattr(faults, field)
     setattr(faults, field, value)
@@ -233,19 +237,19 @@
 ) -> None:
     since = soak.now
     soak.fleet.draining.add(name)
-    soak.fleet.beat(name)
+    soak.fleet.write_entry(name)
     await asyncio.sleep(generator.uniform(1.0, 4.0))
     soak.fleet.draining.discard(name)
     soak.drains.append((name, since, soak.now))
-    soak.fleet.beat(name)
+    soak.fleet.write_entry(name)
 
 
-async def _async_flip(soak: Soak, generator: random.Random) -> None:
-    """Publish other configurations, which disturbs nothing."""
+async def _async_change_routes(soak: Soak, generator: random.Random) -> None:
+    """Publish alternating configurations, which is not a fault."""
     for _ in range(generator.choice((1, 1, 4))):
-        number = 1 - soak.flips[-1][1]
+        number = 1 - soak.route_changes[-1][1]
         soak.fleet.publish(number)
-        soak.flips.append((soak.now, number))
+        soak.route_changes.append((soak.now, number))
         await asyncio.sleep(generator.uniform(0.0, 0.3))
 
 
@@ -275,18 +279,18 @@
     ("no_seal", True),
     ("status", 500),
 )
-# None publishes configurations.
-_WEIGHT_BY_DISTURBANCE: dict[Disturbance | None, int] = {
-    Disturbance("pause", _routers, _async_pause): 2,
-    Disturbance("kill", _routers, _async_kill): 2,
-    Disturbance("terminate", _routers, _async_terminate): 3,
-    Disturbance("", _links, _async_link, _LINK_FAULTS, "link"): 4,
-    Disturbance(
-        "", _store, _async_store, _STORE_FAULTS, "store", least_free=1
+# None stands for publishing configurations.
+_WEIGHT_BY_SCENARIO: dict[FaultScenario | None, int] = {
+    FaultScenario("pause", _routers, _async_pause): 2,
+    FaultScenario("kill", _routers, _async_kill): 2,
+    FaultScenario("terminate", _routers, _async_terminate): 3,
+    FaultScenario("", _links, _async_link, _LINK_FAULTS, "link"): 4,
+    FaultScenario(
+        "", _store, _async_store, _STORE_FAULTS, "store", min_free=1
     ): 2,
-    Disturbance("crash", _upstreams, _async_crash): 2,
-    Disturbance("drain", _upstreams, _async_drain): 2,
-    Disturbance("", _upstreams, _async_upstream, _UPSTREAM_FAULTS): 3,
+    FaultScenario("crash", _upstreams, _async_crash): 2,
+    FaultScenario("drain", _upstreams, _async_drain): 2,
+    FaultScenario("", _upstreams, _async_upstream, _UPSTREAM_FAULTS): 3,
     None: 3,
 }
 
@@ -300,7 +304,7 @@
         Path | None, typer.Option(help="Folder that keeps all logs.")
     ] = None,
 ) -> None:
-    """Break parts of a platform fleet under load and check what it keeps."""
+    """Inject faults into a fleet on the platform and check its guarantees."""
     is_clean = True
     for number in range(seed, seed + seeds):
         folder = None if keep_logs is None else keep_logs / str(number)
@@ -321,7 +325,7 @@
 async def async_soak(
     seed: int, rounds: int, routers: int, folder: Path | None = None
 ) -> SoakResult:
-    """Run one seed.
+    """Run the soak with one seed.
 
     Args:
         seed: Seed of the faults and of the load.
@@ -339,14 +343,14 @@
             for plan in fleet.plan_by_id.values()
         }
         callers = SoakCallers(addresses, seed)
-        faults_end_at = await _async_play(
+        faults_end_at = await _async_run_rounds(
             soak, callers, generator, rounds, CALLERS_PER_ROUTER * routers
         )
-        facts = Facts(
+        observations = SoakObservations(
             calls=callers.calls,
             upstreams=list(fleet.upstream_by_id.values()),
             spans=soak.spans,
-            flips=soak.flips,
+            route_changes=soak.route_changes,
             drains=soak.drains,
             faults_end_at=faults_end_at,
             events=EVENTS,
@@ -354,31 +358,31 @@
         return SoakResult(
             [f"{span.kind} {span.subject}" for span in soak.spans],
             Counter(call.status for call in callers.calls),
-            breaches(facts),
+            breaches(observations),
         )
 
 
-async def _async_play(
+async def _async_run_rounds(
     soak: Soak,
     callers: SoakCallers,
     generator: random.Random,
     rounds: int,
     count: int,
 ) -> float:
-    """Play all rounds under load.
+    """Run all rounds under load.
 
     Args:
         soak: The soak.
         callers: The callers.
-        generator: Generator of the faults.
+        generator: Random generator of the faults.
         rounds: Number of rounds of faults.
         count: Number of callers.
 
     Returns:
-        Time from which on everything should be served again.
+        Time from which all requests should be served again.
     """
     tasks = [
-        asyncio.create_task(soak.fleet.async_beat()),
+        asyncio.create_task(soak.fleet.async_renew_entries()),
         asyncio.create_task(callers.async_run(count)),
     ]
     await asyncio.sleep(WARM_UP_SECONDS)
@@ -388,7 +392,7 @@
             await asyncio.sleep(ROUND_SECONDS)
     await asyncio.sleep(RECOVERY_SECONDS)
     faults_end_at = soak.now
-    await asyncio.sleep(CHECKED_SECONDS)
+    await asyncio.sleep(RECOVERY_CHECK_SECONDS)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -398,17 +402,17 @@
 def _begin_round(
     soak: Soak, generator: random.Random, group: asyncio.TaskGroup
 ) -> None:
-    """Begin the faults of a round, each at its own moment."""
-    disturbances = list(_WEIGHT_BY_DISTURBANCE)
-    weights = list(_WEIGHT_BY_DISTURBANCE.values())
+    """Schedule the faults of a round at random times."""
+    scenarios = list(_WEIGHT_BY_SCENARIO)
+    weights = list(_WEIGHT_BY_SCENARIO.values())
     count = generator.choice((1, 2, 3))
-    for disturbance in generator.choices(disturbances, weights, k=count):
+    for scenario in generator.choices(scenarios, weights, k=count):
         delay = generator.uniform(0.0, ROUND_SECONDS)
         own = random.Random(generator.random())
         work = (
-            _async_flip(soak, own)
-            if disturbance is None
-            else soak.async_apply(disturbance, own)
+            _async_change_routes(soak, own)
+            if scenario is None
+            else soak.async_apply(scenario, own)
         )
         group.create_task(_async_later(delay, work))
 
