--- a/tests/ctl/test_story.py
+++ b/tests/ctl/test_story.py
@@ -24,13 +24,13 @@
         3.1, "r1", "request admitted", request_id="p", upstream="u1", owner="r2"
     ),
     line(3.4, "r1", "request ended", request_id="q", outcome="broken_off"),
-    line(9.0, "r1", "log service lost", topic="t"),
+    line(9.0, "r1", "log service unavailable", topic="t"),
 ]
 R2 = [
     "starting up",
     "{not json",
     '{"event": "no time"}',
-    "  12.0 r2 " + line(2.0, "r2", "log service lost", topic="t"),
+    "  12.0 r2 " + line(2.0, "r2", "log service unavailable", topic="t"),
     line(2.5, "r2", "upstream removed", upstream="u1"),
 ]
 R3 = [line(2.6, "r3", "upstream removed", upstream="u1")]
@@ -53,7 +53,7 @@
             [],
             [
                 ("r1", "upstream removed"),
-                ("r2", "log service lost"),
+                ("r2", "log service unavailable"),
                 ("r2", "upstream removed"),
                 ("r1", "request admitted"),
                 ("r1", "request ended"),
