--- a/packages/core/src/lacewingspar_core/claims.py
+++ b/packages/core/src/lacewingspar_core/claims.py
@@ -22,12 +22,12 @@
 # Deduplication window as a fraction of the stream's retention. The other half
 # is the time that a reader has for reading the stream.
 DEDUPLICATION_WINDOW_FRACTION = 0.5
-# Larger bodies are not recorded; a repeated call is then only told that the
-# call has run.
+# Larger bodies are not recorded; a repeated call then gets only the
+# information that the call has run.
 MAX_OUTCOME_BODY_BYTES = 8 * 1024
 # Total size of the bodies kept in memory, a quarter of a router's memory limit.
-# Beyond it the oldest bodies are dropped, and repeated calls are only told that
-# the call has run.
+# Beyond it the oldest bodies are dropped, and repeated calls get only the
+# information that the call has run.
 MAX_TOTAL_OUTCOME_BODY_BYTES = 64 * 1024 * 1024
 
 _KEY_BYTES = 16
@@ -183,7 +183,7 @@
         return self._entry_by_offset.get(offset)
 
     def entry_by_key(self, key: bytes) -> ClaimEntry | None:
-        """Return the claim that answers repeated calls of a key, or None.
+        """Return the claim that decides repeated calls of a key, or None.
 
         It is the claim with an outcome, or else the oldest one.
         """
--- a/packages/core/src/lacewingspar_core/messages.py
+++ b/packages/core/src/lacewingspar_core/messages.py
@@ -148,7 +148,7 @@
         slot: Id of the slot use that is offered.
         upstream_id: Upstream that has the free slot.
         workspace: Workspace whose request may use the slot.
-        model: Model of the demand entry that the offer answers, or "" for any
+        model: Model of the demand entry that the offer is for, or "" for any
             that the upstream serves.
         is_forwarded: Whether a slot owner has forwarded the offer to one of its
             ingress routers.
--- a/packages/router/src/lacewingspar_router/components/admission/ingress.py
+++ b/packages/router/src/lacewingspar_router/components/admission/ingress.py
@@ -76,7 +76,7 @@
         admission: The admission request.
         upstream_id: Upstream that runs the request.
         owner: Router that accounts for the run.
-        has_first_part: Whether the first chunk of the response has arrived.
+        has_first_chunk: Whether the first chunk of the response has arrived.
     """
 
     pool: Pool
@@ -176,7 +176,7 @@
     def report_runs(self) -> None:
         """Report the runs of this router to the owners of their pools.
 
-        These reports also tell the new owner of a pool about existing runs.
+        These reports also inform the new owner of a pool of existing runs.
         """
         reported: dict[tuple[Pool, str], list[ReportedRun]] = {}
         for number, run in self._run_by_number.items():
--- a/packages/router/src/lacewingspar_router/components/caller_api/calls.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/calls.py
@@ -56,14 +56,14 @@
 
     Attributes:
         request: The request.
-        subject: Identity of the request for the quarantine.
+        identity: Identity of the request for the quarantine.
         exchange: HTTP exchange with the caller.
         track: Progress of the request through this router.
         claim: Claim of the idempotency key, if the request has a key.
     """
 
     request: CallerRequest
-    subject: RequestIdentity
+    identity: RequestIdentity
     exchange: Exchange
     track: RequestTrack
     claim: ClaimGranted | None
@@ -100,10 +100,10 @@
         Raises:
             RequestRefusedError: The request is refused.
         """
-        subject = RequestIdentity(
+        identity = RequestIdentity(
             request.document.service, request.target, request.body
         )
-        self._slots.check(subject)
+        self._slots.check(identity)
         attempts = self.retries.begin(request)
         while True:
             if request.idempotency_key is not None:
@@ -113,7 +113,7 @@
                 track.run = RunState.RAN
                 await async_replay(exchange, claim)
                 return "replayed"
-            call = Call(request, subject, exchange, track, claim)
+            call = Call(request, identity, exchange, track, claim)
             try:
                 return await self._async_attempts(call, attempts)
             except RequestRefusedError as error:
@@ -204,7 +204,7 @@
         self._in_flight.record_hop(call.track, "queue")
         with self._telemetry.span("queue", trace_parent=request.trace_parent):
             use = await self._slots.async_acquire(
-                request, call.subject, attempts, deadline_at
+                request, call.identity, attempts, deadline_at
             )
         self._in_flight.apply_event(call.track, "bind")
         self._in_flight.record_hop(call.track, "slot", use.upstream_id)
--- a/packages/router/src/lacewingspar_router/components/caller_api/response_body.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/response_body.py
@@ -19,9 +19,9 @@
     def __init__(self) -> None:
         self._tail = bytearray()
 
-    def add(self, part: bytes) -> None:
+    def add(self, chunk: bytes) -> None:
         """Append a chunk of the body."""
-        self._tail += part
+        self._tail += chunk
         if len(self._tail) > 2 * RESPONSE_TAIL_BYTES:
             del self._tail[:-RESPONSE_TAIL_BYTES]
 
@@ -48,12 +48,12 @@
     def __init__(self) -> None:
         self._buffer = b""
 
-    def push(self, part: bytes) -> bytes:
+    def push(self, chunk: bytes) -> bytes:
         """Append a chunk of the stream and return the complete events."""
         # Fast path: inference engines usually send complete events.
-        if not self._buffer and part.endswith(_EVENT_ENDS):
-            return part
-        data = self._buffer + part if self._buffer else part
+        if not self._buffer and chunk.endswith(_EVENT_ENDS):
+            return chunk
+        data = self._buffer + chunk if self._buffer else chunk
         end = max(
             (
                 data.rfind(end_marker) + len(end_marker)
--- a/packages/router/src/lacewingspar_router/components/caller_api/slot_acquirer.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/slot_acquirer.py
@@ -42,23 +42,23 @@
         self._quarantine = application.get(QUARANTINE)
         self._scheduler = application.get(SCHEDULER)
         self._upstreams = application.get(UPSTREAMS)
-        self._limit_by_subject: dict[RequestIdentity, asyncio.Timeout] = {}
+        self._limit_by_identity: dict[RequestIdentity, asyncio.Timeout] = {}
         self._quarantine.add_listener(self._end_quarantined_waits)
 
-    def check(self, subject: RequestIdentity) -> None:
+    def check(self, identity: RequestIdentity) -> None:
         """Check that a request is not in quarantine.
 
         Raises:
             RequestRefusedError: The request is in quarantine.
         """
-        seconds = self._quarantine.remaining_quarantine_seconds(subject)
+        seconds = self._quarantine.remaining_quarantine_seconds(identity)
         if seconds > 0:
             raise quarantined(seconds)
 
     async def async_acquire(
         self,
         request: CallerRequest,
-        subject: RequestIdentity,
+        identity: RequestIdentity,
         attempts: Attempts,
         deadline_at: float,
     ) -> SlotUse:
@@ -67,20 +67,20 @@
         Raises:
             RequestRefusedError: The request is refused; it was not sent.
         """
-        await self._quarantine.async_wait_for_crash_checks(subject)
+        await self._quarantine.async_wait_for_crash_checks(identity)
         while True:
-            self.check(subject)
+            self.check(identity)
             grant = await self._async_grant(
-                request, subject, attempts, deadline_at
+                request, identity, attempts, deadline_at
             )
             if grant is None:
                 continue
             use = SlotUse(self._scheduler, grant)
             try:
                 # The request may have entered the quarantine during the wait.
-                self.check(subject)
+                self.check(identity)
                 use.run = await self._quarantine.async_begin(
-                    subject, grant.upstream_id
+                    identity, grant.upstream_id
                 )
             finally:
                 if use.run is None:
@@ -91,34 +91,34 @@
     async def _async_grant(
         self,
         request: CallerRequest,
-        subject: RequestIdentity,
+        identity: RequestIdentity,
         attempts: Attempts,
         deadline_at: float,
     ) -> SlotGrant | None:
         """Wait for a slot; return None if the request must be checked again."""
         excluded = frozenset(attempts.failed_upstreams)
         limit_seconds = None
-        if self._quarantine.is_suspect(subject):
+        if self._quarantine.is_suspect(identity):
             excluded |= await self._async_busy_upstreams(
-                request, subject, excluded, deadline_at
+                request, identity, excluded, deadline_at
             )
             # Other upstreams may become free of suspects during the wait.
             limit_seconds = SUSPECT_RECHECK_SECONDS
         try:
             async with asyncio.timeout(limit_seconds) as limit:
-                self._limit_by_subject[subject] = limit
+                self._limit_by_identity[identity] = limit
                 return await self._scheduler.async_acquire(
                     _slot_request(request, excluded, deadline_at)
                 )
         except TimeoutError:
             return None
         finally:
-            del self._limit_by_subject[subject]
+            del self._limit_by_identity[identity]
 
     async def _async_busy_upstreams(
         self,
         request: CallerRequest,
-        subject: RequestIdentity,
+        identity: RequestIdentity,
         failed: frozenset[str],
         deadline_at: float,
     ) -> frozenset[str]:
@@ -129,7 +129,7 @@
 
         try:
             return await self._quarantine.async_wait_for_free_upstream(
-                subject, usable, deadline_at
+                identity, usable, deadline_at
             )
         except NoUpstreamForSuspectError as error:
             raise suspect_deadline_passed() from error
@@ -137,9 +137,9 @@
     def _end_quarantined_waits(self) -> None:
         """End the slot waits of requests that are now in quarantine."""
         now = asyncio.get_running_loop().time()
-        for subject, limit in self._limit_by_subject.items():
+        for identity, limit in self._limit_by_identity.items():
             is_refused = (
-                self._quarantine.remaining_quarantine_seconds(subject) > 0
+                self._quarantine.remaining_quarantine_seconds(identity) > 0
             )
             # An expired timeout cannot be rescheduled.
             if is_refused and not limit.expired():
--- a/packages/router/src/lacewingspar_router/components/caller_api/streaming.py
+++ b/packages/router/src/lacewingspar_router/components/caller_api/streaming.py
@@ -70,13 +70,15 @@
         Raises:
             UpstreamError: The body is incomplete.
         """
-        async for part in self._response.body():
+        async for chunk in self._response.body():
             if self._is_model:
-                self._tail.add(part)
+                self._tail.add(chunk)
             if self._must_record:
-                self._record(part)
+                self._record(chunk)
             ready = (
-                self._event_buffer.push(part) if self._is_event_stream else part
+                self._event_buffer.push(chunk)
+                if self._is_event_stream
+                else chunk
             )
             if ready:
                 await self._async_send(ready)
@@ -132,9 +134,9 @@
             if name not in removed
         ]
 
-    def _record(self, part: bytes) -> None:
-        self._recorded_bytes += len(part)
+    def _record(self, chunk: bytes) -> None:
+        self._recorded_bytes += len(chunk)
         if self._recorded_bytes > MAX_RECORDED_RESPONSE_BYTES:
             self._recorded_chunks = None
         if self._recorded_chunks is not None:
-            self._recorded_chunks.append(part)
+            self._recorded_chunks.append(chunk)
--- a/packages/router/src/lacewingspar_router/components/claims/registry.py
+++ b/packages/router/src/lacewingspar_router/components/claims/registry.py
@@ -229,14 +229,14 @@
         self._app.create_task(
             self._async_send_claim(claim, future), "append claim"
         )
-        is_answered = False
+        is_wait_complete = False
         try:
             await asyncio.wait({future}, timeout=CLAIM_TIMEOUT_SECONDS)
-            is_answered = True
+            is_wait_complete = True
         finally:
             # If the claim is read back later, the reader now releases it.
             self._waiting_by_sequence.pop(sequence, None)
-            if not is_answered and future.done():
+            if not is_wait_complete and future.done():
                 self._release_granted(future.result())
         return future.result() if future.done() else ClaimUnavailable()
 
--- a/packages/router/src/lacewingspar_router/components/forwarding/__init__.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/__init__.py
@@ -64,7 +64,7 @@
     app.on_drain("forwarding", lambda: _async_drain(app, callers, handler))
     app.on_unload("forwarding", async_unload)
     app.on_abort(async_abort_requests)
-    app.create_task(_async_drop_stale(handler), "drop stale connections")
+    app.create_task(_async_close_stale(handler), "drop stale connections")
     monitor = LoadMonitor(app, callers, handler.load_shedder, handler.hand_over)
     app.create_task(monitor.async_run(), "measure load")
     await callers.async_start(settings.caller_address)
@@ -108,7 +108,7 @@
         await asyncio.sleep(0.05)
 
 
-async def _async_drop_stale(handler: CallHandler) -> None:
+async def _async_close_stale(handler: CallHandler) -> None:
     while True:
         await asyncio.sleep(const.STALE_CONNECTION_CHECK_INTERVAL_SECONDS)
-        handler.drop_stale_connections()
+        handler.close_stale_connections()
--- a/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/attempt.py
@@ -194,13 +194,13 @@
         caller_response.exchange.finish()
         return AttemptEnd(AttemptResult.RESPONDED)
 
-    def relay_chunk(self, head: ResponseHead, part: bytes) -> bool:
+    def relay_chunk(self, head: ResponseHead, chunk: bytes) -> bool:
         """Relay the events that a chunk of a stream completes.
 
         Returns:
             Whether the caller can take more data at once.
         """
-        ready = self._caller_response.events.push(part)
+        ready = self._caller_response.events.push(chunk)
         if not ready:
             return True
         self._start_response(head)
--- a/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/hand_over.py
@@ -39,14 +39,14 @@
     """Outcome of a hand-over.
 
     Attributes:
-        ANSWERED: The response was relayed.
+        RESPONDED: The response was relayed.
         NOT_TAKEN: The neighbour accepted no connection or refused the request.
         BROKEN: The connection to the neighbour broke.
         DEADLINE_PASSED: The response was not complete at the deadline.
         CANCELLED: The caller disconnected.
     """
 
-    ANSWERED = "answered"
+    RESPONDED = "answered"
     NOT_TAKEN = "not_taken"
     BROKEN = "broken"
     DEADLINE_PASSED = "deadline_passed"
@@ -57,7 +57,7 @@
     """Hands requests over to neighbours when this router lacks processor time.
 
     Attributes:
-        share: Controls the fraction of new requests to hand over.
+        controller: Controls the fraction of new requests to hand over.
 
     Args:
         app: The application.
@@ -71,7 +71,7 @@
         app: Application,
         record_decline: Callable[[Call, str, float], None],
     ) -> None:
-        self.share = HandOverController()
+        self.controller = HandOverController()
         self._record_decline = record_decline
         self._app = app
         self._wire_format = app.get(WIRE_FORMAT)
@@ -85,10 +85,10 @@
         self._pool_by_address: dict[str, ConnectionPool] = {}
         self._neighbours: list[Neighbour] | None = None
         self._peers.add_listener(self._clear_neighbours)
-        self._peers.set_busy_source(lambda: self.share.is_busy)
+        self._peers.set_busy_source(lambda: self.controller.is_busy)
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Return the number of requests in flight at neighbours."""
         return self._neighbour_loads.in_flight
 
@@ -102,7 +102,7 @@
         """
         if call.metadata.handed_over_after_seconds is not None:
             return None
-        if not self.share.should_hand_over_next():
+        if not self.controller.should_hand_over_next():
             return None
         return self._neighbour_loads.choose(
             self._known_neighbours(), self._app.now()
@@ -149,7 +149,7 @@
             case _:
                 return True
 
-    def drop_stale_connections(self) -> None:
+    def close_stale_connections(self) -> None:
         """Close idle connections to neighbours that are no longer used."""
         addresses = {
             neighbour.address for neighbour in self._known_neighbours()
@@ -212,7 +212,7 @@
         if refused is not None:
             self._neighbour_loads.exclude(neighbour.router_id, self._app.now())
             return HandOverOutcome.NOT_TAKEN
-        return HandOverOutcome.ANSWERED
+        return HandOverOutcome.RESPONDED
 
     async def _async_relay_response(
         self,
@@ -253,7 +253,7 @@
             request_id=call.metadata.request_id,
             workspace=call.workspace,
             neighbour=neighbour.router_id,
-            share=self.share.share,
+            share=self.controller.share,
             outcome=outcome,
             duration_ms=round((self._app.now() - call.arrived_at) * 1000),
         )
--- a/packages/router/src/lacewingspar_router/components/forwarding/handler.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/handler.py
@@ -67,12 +67,12 @@
         self._wire_format = app.get(WIRE_FORMAT)
         self._peers = app.get(PEERS)
         self._telemetry = app.get(TELEMETRY)
-        self._retry_bound = RetryBudgetConfig(
+        self._retry_budget_config = RetryBudgetConfig(
             settings.retry_ratio,
             settings.retry_window_seconds,
             settings.retry_allowance,
         )
-        self._allowance_by_service: dict[str, RetryBudget] = {}
+        self._retry_budget_by_service: dict[str, RetryBudget] = {}
         self._pool_by_address: dict[str, ConnectionPool] = {}
         self._crash_guard = CrashGuard(app)
         self._recorder = RequestRecorder(app)
@@ -138,9 +138,9 @@
         finally:
             self._recorder.record_end(progress, outcome)
 
-    def drop_stale_connections(self) -> None:
+    def close_stale_connections(self) -> None:
         """Close stale connections and those to removed upstreams."""
-        self.hand_over.drop_stale_connections()
+        self.hand_over.close_stale_connections()
         addresses = {
             entry.address
             for entry in self._routing.directory.entry_by_id.values()
@@ -203,7 +203,7 @@
             RequestRefusedError: No upstream responded.
         """
         call = progress.call
-        self._retry_allowance(call.service).record_request(self._app.now())
+        self._retry_budget(call.service).record_request(self._app.now())
         remaining_seconds = call.deadline_at - self._app.now()
         try:
             async with asyncio.timeout(
@@ -343,7 +343,7 @@
         if not history.sent:
             return True
         routers = len(self._peers.alive_by_router_id)
-        if self._retry_allowance(call.service).try_spend(routers, now):
+        if self._retry_budget(call.service).try_spend(routers, now):
             return True
         self._telemetry.count("retries_denied_total", service=call.service)
         _LOGGER.info(
@@ -412,12 +412,12 @@
                 response.status, response.headers, response.body
             )
 
-    def _retry_allowance(self, service: str) -> RetryBudget:
-        allowance = self._allowance_by_service.get(service)
-        if allowance is None:
-            allowance = RetryBudget(self._retry_bound)
-            self._allowance_by_service[service] = allowance
-        return allowance
+    def _retry_budget(self, service: str) -> RetryBudget:
+        budget = self._retry_budget_by_service.get(service)
+        if budget is None:
+            budget = RetryBudget(self._retry_budget_config)
+            self._retry_budget_by_service[service] = budget
+        return budget
 
     def _connection_pool(self, address: str) -> ConnectionPool:
         pool = self._pool_by_address.get(address)
--- a/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/load_monitor.py
@@ -64,7 +64,7 @@
         self._largest_delay_seconds = max(self._largest_delay_seconds, seconds)
         limit = self._limit
         limit.record_loop_delay(seconds)
-        self._hand_over.share.record_loop_delay(seconds)
+        self._hand_over.controller.record_loop_delay(seconds)
         self._telemetry.gauge("event_loop_delay_seconds", seconds)
         self._telemetry.gauge("requests_under_way", limit.active)
         if self._is_limited == limit.is_full:
@@ -93,8 +93,8 @@
             accepted=accepted - self._reported_accepted,
             connections=connections,
             under_way=self._limit.active,
-            handed_over=self._hand_over.under_way,
-            hand_over_share=self._hand_over.share.share,
+            handed_over=self._hand_over.in_flight,
+            hand_over_share=self._hand_over.controller.share,
             descriptors=descriptors,
             largest_loop_delay_ms=round(self._largest_delay_seconds * 1000),
             processor_ms=round(
--- a/packages/router/src/lacewingspar_router/components/forwarding/load_shedding.py
+++ b/packages/router/src/lacewingspar_router/components/forwarding/load_shedding.py
@@ -42,7 +42,7 @@
         self._routing = app.get(ROUTING)
         self._wire_format = app.get(WIRE_FORMAT)
         self._telemetry = app.get(TELEMETRY)
-        self._declines = DeclineCache(app.random.uniform)
+        self._decline_cache = DeclineCache(app.random.uniform)
 
     def refuse_early(self, request: HttpRequest) -> Response | None:
         """Return the refusal of a request that this router cannot serve.
@@ -54,7 +54,7 @@
             The refusal, or None if the request is to be handled normally.
         """
         configuration = self._routing.configuration
-        may_refuse = self.limit.is_full or not self._declines.is_empty(
+        may_refuse = self.limit.is_full or not self._decline_cache.is_empty(
             self._app.now()
         )
         if not may_refuse or configuration is None:
@@ -93,7 +93,7 @@
             retry_after_seconds: Time after which the caller may retry.
         """
         if code == refusals.OVERLOADED:
-            self._declines.record(
+            self._decline_cache.record(
                 call.workspace,
                 call.route.name,
                 retry_after_seconds,
@@ -124,7 +124,7 @@
             remaining_seconds = min(
                 remaining_seconds, identity.time_budget_seconds
             )
-        return self._declines.retry_after(
+        return self._decline_cache.retry_after(
             workspace, route.name, remaining_seconds, self._app.now()
         )
 
--- a/packages/router/src/lacewingspar_router/components/quarantine/models.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/models.py
@@ -38,7 +38,7 @@
     """A request in flight on an upstream.
 
     Attributes:
-        subject: The request.
+        identity: The request.
         upstream_id: The upstream.
         epoch: Number of known crashes of the upstream when the request was
             sent.
@@ -47,7 +47,7 @@
         confirmation: Check whether the upstream has crashed, once started.
     """
 
-    subject: RequestIdentity
+    identity: RequestIdentity
     upstream_id: str
     epoch: int
     reservation: SuspectRun | None = None
@@ -61,27 +61,27 @@
     def add_listener(self, listener: Callable[[], None]) -> None:
         """Call a function whenever new crashes become known."""
 
-    def remaining_quarantine_seconds(self, subject: RequestIdentity) -> float:
+    def remaining_quarantine_seconds(self, identity: RequestIdentity) -> float:
         """Return the remaining quarantine of a request in seconds, or 0."""
 
-    def is_suspect(self, subject: RequestIdentity) -> bool:
+    def is_suspect(self, identity: RequestIdentity) -> bool:
         """Return whether a request must not run beside other suspects."""
 
     async def async_wait_for_crash_checks(
-        self, subject: RequestIdentity
+        self, identity: RequestIdentity
     ) -> None:
         """Wait for the running crash checks that involve a request."""
 
     async def async_wait_for_free_upstream(
         self,
-        subject: RequestIdentity,
+        identity: RequestIdentity,
         usable: Callable[[], Collection[str]],
         deadline_at: float,
     ) -> frozenset[str]:
         """Wait until an upstream is free of other suspects.
 
         Args:
-            subject: The suspect that is to run.
+            identity: The suspect that is to run.
             usable: Returns the upstreams that could run it now.
             deadline_at: Latest end of the wait on the application's clock.
 
@@ -93,7 +93,7 @@
         """
 
     async def async_begin(
-        self, subject: RequestIdentity, upstream_id: str
+        self, identity: RequestIdentity, upstream_id: str
     ) -> UpstreamRun | None:
         """Record that a request is about to be sent to an upstream.
 
--- a/packages/router/src/lacewingspar_router/components/quarantine/registry.py
+++ b/packages/router/src/lacewingspar_router/components/quarantine/registry.py
@@ -51,36 +51,36 @@
         """Call a function whenever new crashes become known."""
         self._listeners.append(listener)
 
-    def remaining_quarantine_seconds(self, subject: RequestIdentity) -> float:
+    def remaining_quarantine_seconds(self, identity: RequestIdentity) -> float:
         """Return the remaining quarantine of a request in seconds, or 0."""
-        state = self._exchange.find_state(subject.service)
+        state = self._exchange.find_state(identity.service)
         if state is None:
             return 0.0
         now = self._app.now()
-        return max(0.0, state.refused_until(subject.fingerprint, now) - now)
+        return max(0.0, state.refused_until(identity.fingerprint, now) - now)
 
-    def is_suspect(self, subject: RequestIdentity) -> bool:
+    def is_suspect(self, identity: RequestIdentity) -> bool:
         """Return whether a request must not run beside other suspects."""
-        state = self._exchange.find_state(subject.service)
+        state = self._exchange.find_state(identity.service)
         if state is None:
             return False
-        return state.must_run_alone(subject.fingerprint, self._app.now())
+        return state.must_run_alone(identity.fingerprint, self._app.now())
 
     async def async_wait_for_crash_checks(
-        self, subject: RequestIdentity
+        self, identity: RequestIdentity
     ) -> None:
         """Wait for the running crash checks that involve a request."""
         checks = [
             check
             for check, runs in self._broken_runs_by_check.items()
-            if any(_is_same_request(run.subject, subject) for run in runs)
+            if any(_is_same_request(run.identity, identity) for run in runs)
         ]
         if checks:
             await asyncio.wait(checks)
 
     async def async_wait_for_free_upstream(
         self,
-        subject: RequestIdentity,
+        identity: RequestIdentity,
         usable: Callable[[], Collection[str]],
         deadline_at: float,
     ) -> frozenset[str]:
@@ -93,11 +93,11 @@
             NoUpstreamForSuspectError: The deadline has passed.
         """
         return await self._gate.async_wait(
-            subject.service, subject.fingerprint, usable, deadline_at
+            identity.service, identity.fingerprint, usable, deadline_at
         )
 
     async def async_begin(
-        self, subject: RequestIdentity, upstream_id: str
+        self, identity: RequestIdentity, upstream_id: str
     ) -> UpstreamRun | None:
         """Record that a request is about to be sent to an upstream.
 
@@ -105,14 +105,16 @@
             The run, or None if a suspect must not run on this upstream now.
         """
         reservation = None
-        if self.is_suspect(subject):
-            reservation = SuspectRun(upstream_id, subject.fingerprint)
-            if not await self._gate.async_reserve(subject.service, reservation):
+        if self.is_suspect(identity):
+            reservation = SuspectRun(upstream_id, identity.fingerprint)
+            if not await self._gate.async_reserve(
+                identity.service, reservation
+            ):
                 return None
-        state = self._exchange.find_state(subject.service)
+        state = self._exchange.find_state(identity.service)
         epoch = state.epoch(upstream_id) if state else 0
-        run = UpstreamRun(subject, upstream_id, epoch, reservation)
-        key = (subject.service, upstream_id)
+        run = UpstreamRun(identity, upstream_id, epoch, reservation)
+        key = (identity.service, upstream_id)
         self._runs_by_upstream.setdefault(key, set()).add(run)
         return run
 
@@ -124,7 +126,7 @@
         """
         if run.confirmation is not None:
             return run.confirmation
-        key = (run.subject.service, run.upstream_id)
+        key = (run.identity.service, run.upstream_id)
         runs = frozenset(self._runs_by_upstream.get(key, ())) | {run}
         check = self._app.create_task(
             self._async_confirm(key, runs), "confirm crash"
@@ -140,7 +142,7 @@
     def end(self, run: UpstreamRun, *, has_caller_left: bool) -> None:
         """Record the end of a run."""
         if run.is_complete:
-            self._record_success(run.subject)
+            self._record_success(run.identity)
         if has_caller_left and not run.is_complete:
             asyncio.get_running_loop().call_later(
                 ABANDONED_RUN_SECONDS, self._end_abandoned, run
@@ -150,27 +152,27 @@
 
     def _end_abandoned(self, run: UpstreamRun) -> None:
         """End an abandoned run; check for a crash if its upstream fails."""
-        key = (run.subject.service, run.upstream_id)
+        key = (run.identity.service, run.upstream_id)
         status = self._upstreams.status_by_upstream.get(key)
         if status is not None and status.state == _STATE_FAILING:
             self.start_crash_check(run)
         self._discard(run)
 
     def _discard(self, run: UpstreamRun) -> None:
-        key = (run.subject.service, run.upstream_id)
+        key = (run.identity.service, run.upstream_id)
         runs = self._runs_by_upstream.get(key)
         if runs is not None:
             runs.discard(run)
             if not runs:
                 del self._runs_by_upstream[key]
         if run.reservation is not None:
-            self._gate.release(run.subject.service, run.reservation)
+            self._gate.release(run.identity.service, run.reservation)
             run.reservation = None
 
-    def _record_success(self, subject: RequestIdentity) -> None:
-        state = self._exchange.find_state(subject.service)
+    def _record_success(self, identity: RequestIdentity) -> None:
+        state = self._exchange.find_state(identity.service)
         if state is not None:
-            state.record_success(subject.fingerprint, self._app.now())
+            state.record_success(identity.fingerprint, self._app.now())
             self._exchange.publish(state)
 
     async def _async_confirm(
@@ -194,7 +196,7 @@
         if not await self._upstreams.async_is_reachable(service, upstream_id):
             return
         suspects = {
-            run.subject.fingerprint for run in runs if not run.is_complete
+            run.identity.fingerprint for run in runs if not run.is_complete
         }
         _LOGGER.warning(
             "upstream crashed",
--- a/packages/router/src/lacewingspar_router/components/routing/follower.py
+++ b/packages/router/src/lacewingspar_router/components/routing/follower.py
@@ -33,7 +33,7 @@
         on_records: Called with the records after the listing.
         on_failure: Called after each failed read.
         wait_seconds: Long-poll duration of a read.
-        pause_seconds: Delay between reads.
+        read_delay_seconds: Delay between reads.
         role: Decides when this router has to read the log.
         generator: Random generator for the jitter of retries.
         known_offset: Returns the offset up to which other routers have
@@ -47,7 +47,7 @@
         on_records: Callable[[TopicRecords], None],
         on_failure: Callable[[], None],
         wait_seconds: float,
-        pause_seconds: float,
+        read_delay_seconds: float,
         role: LogReaderRole,
         generator: random.Random,
         known_offset: Callable[[], int] = lambda: 0,
@@ -59,7 +59,7 @@
         self._on_records = on_records
         self._on_failure = on_failure
         self._wait_seconds = wait_seconds
-        self._pause_seconds = pause_seconds
+        self._read_delay_seconds = read_delay_seconds
         self._random = generator
         self._offset: int | None = None
         self.is_available = True
@@ -90,7 +90,7 @@
                 )
             else:
                 self._set_available(is_available=True, reason="")
-                await asyncio.sleep(self._pause_seconds)
+                await asyncio.sleep(self._read_delay_seconds)
 
     async def _async_read_once(self) -> None:
         if self._offset is None:
--- a/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
+++ b/packages/router/src/lacewingspar_router/components/scheduler/scheduler.py
@@ -189,7 +189,7 @@
                 ),
                 "slots_in_use_here": ingress_queue.active_slots,
                 "waiting_here": ingress_queue.waiting_by_workspace,
-                "owned_uses": self._owned_uses(service),
+                "owned_uses": self._owned_allocations(service),
             }
             for service, ingress_queue in self._ingress_queue_by_service.items()
         }
@@ -207,7 +207,7 @@
             for ingress_queue in self._ingress_queue_by_service.values()
         )
 
-    def _owned_uses(self, service: str) -> Mapping[str, int]:
+    def _owned_allocations(self, service: str) -> Mapping[str, int]:
         owner = self._owner_by_service.get(service)
         return owner.allocated_slots_by_upstream if owner else {}
 
--- a/packages/router/src/lacewingspar_router/components/upstreams/response.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/response.py
@@ -65,9 +65,9 @@
         """
         received = 0
         try:
-            async for part in self._response.aiter_raw():
-                received += len(part)
-                yield part
+            async for chunk in self._response.aiter_raw():
+                received += len(chunk)
+                yield chunk
         except httpx.HTTPError as error:
             raise self._failed(
                 f"response broke off: {describe(error)}"
@@ -109,10 +109,11 @@
         UpstreamBrokenError: The framing does not mark the end of the body.
     """
     headers = response.headers.raw
-    answered_id = header_value(headers, REQUEST_ID_HEADER)
-    if answered_id != call.request_id:
+    response_request_id = header_value(headers, REQUEST_ID_HEADER)
+    if response_request_id != call.request_id:
         raise UpstreamMismatchError(
-            f"response has request id {answered_id!r}", run=RunState.UNKNOWN
+            f"response has request id {response_request_id!r}",
+            run=RunState.UNKNOWN,
         )
     if (
         response.status_code == STATUS_UNAVAILABLE
--- a/packages/router/src/lacewingspar_router/http1/client_connection.py
+++ b/packages/router/src/lacewingspar_router/http1/client_connection.py
@@ -311,11 +311,11 @@
         event = events.popleft()
         if isinstance(event, bytes):
             if events and isinstance(events[0], bytes):
-                parts = [event]
-                while events and isinstance(part := events[0], bytes):
-                    parts.append(part)
+                chunks = [event]
+                while events and isinstance(chunk := events[0], bytes):
+                    chunks.append(chunk)
                     events.popleft()
-                event = b"".join(parts)
+                event = b"".join(chunks)
             self._buffered_bytes -= len(event)
         if not events:
             self._resume_reading()
--- a/packages/router/src/lacewingspar_router/http1/connection_pool.py
+++ b/packages/router/src/lacewingspar_router/http1/connection_pool.py
@@ -58,8 +58,8 @@
 
     def close_expired(self) -> None:
         """Close the idle connections that can no longer be reused."""
-        stale = [item for item in self._idle if not item.is_reusable(None)]
-        for connection in stale:
+        expired = [item for item in self._idle if not item.is_reusable(None)]
+        for connection in expired:
             self._idle.remove(connection)
             connection.abort()
 
--- a/packages/router/src/lacewingspar_router/platform/wire_format.py
+++ b/packages/router/src/lacewingspar_router/platform/wire_format.py
@@ -28,17 +28,17 @@
     """Implements the wire format of the platform."""
 
     def parse_identity(self, request: HttpRequest) -> CallerIdentity:
-        """Return the caller's identity; cheaper than `read_fields`."""
+        """Return the caller's identity; cheaper than `parse_metadata`."""
         values = request.value_by_header
         return CallerIdentity(
             request_id=_header_text(values, names.HEADER_REQUEST_ID),
             host=_host(values),
             key=_key(values),
-            time_budget_seconds=_time_left(values),
+            time_budget_seconds=_time_budget(values),
         )
 
     def parse_metadata(self, request: HttpRequest) -> RequestMetadata:
-        """Return the fields of the request headers.
+        """Return the metadata in the request headers.
 
         Raises:
             RequestRefusedError: A required header is invalid.
@@ -50,7 +50,7 @@
             request_id=_header_text(values, names.HEADER_REQUEST_ID),
             host=_host(values),
             key=_key(values),
-            time_budget_seconds=_time_left(values),
+            time_budget_seconds=_time_budget(values),
             shared_parts=shared,
             own_tokens=own,
             output_tokens=output,
@@ -168,7 +168,7 @@
     return authorization[len(names.AUTHORIZATION_SCHEME) :].strip()
 
 
-def _time_left(values: dict[bytes, bytes]) -> float | None:
+def _time_budget(values: dict[bytes, bytes]) -> float | None:
     text = _header_text(values, names.HEADER_TIME_LEFT_MS)
     try:
         seconds = float(text) / 1000
--- a/tests/core/entry_model.py
+++ b/tests/core/entry_model.py
@@ -80,10 +80,10 @@
     )
     backlog_seconds: float = 0.0
     streams: list[_Work] = field(default_factory=list)
-    declines: DeclineCache = field(
+    decline_cache: DeclineCache = field(
         default_factory=lambda: DeclineCache(random.Random(1).uniform)
     )
-    share: HandOverController = field(default_factory=HandOverController)
+    controller: HandOverController = field(default_factory=HandOverController)
     neighbours: NeighbourLoads = field(default_factory=NeighbourLoads)
 
     def try_accept(
@@ -92,8 +92,10 @@
         """Accept a request of a workspace if possible, and return whether."""
         if not self.limit.try_acquire(workspace):
             return False
-        if self.share.should_hand_over_next():
-            vm_by_name = {vm.name: vm for vm in others if not vm.share.is_busy}
+        if self.controller.should_hand_over_next():
+            vm_by_name = {
+                vm.name: vm for vm in others if not vm.controller.is_busy
+            }
             neighbour = self.neighbours.choose(
                 [Neighbour(name, "") for name in vm_by_name], now
             )
@@ -145,7 +147,7 @@
         """Record the simulated delay of the event loop."""
         delay = self.backlog_seconds / PROCESSOR_SHARE
         self.limit.record_loop_delay(delay)
-        self.share.record_loop_delay(delay)
+        self.controller.record_loop_delay(delay)
 
 
 class Pool:
@@ -212,7 +214,7 @@
                 if tick % round(SAMPLE_SECONDS / TICK_SECONDS) == 0:
                     vm.sample()
 
-    def least_share(self, workspace: str, window: int, start: int) -> float:
+    def min_share(self, workspace: str, window: int, start: int) -> float:
         """Return the smallest share of a workspace over all time windows.
 
         The share is the ratio of its served requests to the smaller of its
@@ -253,7 +255,7 @@
 
     def _try(self, vm: EntryVm, workspace: Workspace, now: float) -> bool:
         served = self.served.setdefault(int(now), Counter())
-        cached_retry_after = vm.declines.retry_after(
+        cached_retry_after = vm.decline_cache.retry_after(
             workspace.name, "", 1.0, now
         )
         if cached_retry_after is not None or not vm.limit.has_room(
@@ -263,7 +265,7 @@
             return False
         if not self._pool.grants(workspace.name, now):
             vm.backlog_seconds += DECLINE_SECONDS
-            vm.declines.record(workspace.name, "", 1.0, now)
+            vm.decline_cache.record(workspace.name, "", 1.0, now)
             return False
         others = [item for item in self.vms if item is not vm]
         if not vm.try_accept(workspace.name, others, now):
--- a/tests/core/test_decline_cache.py
+++ b/tests/core/test_decline_cache.py
@@ -11,9 +11,9 @@
 
 
 def cached_decline() -> DeclineCache:
-    declines = DeclineCache(max)
-    declines.record("large", "review", 0.4, 10.0)
-    return declines
+    cache = DeclineCache(max)
+    cache.record("large", "review", 0.4, 10.0)
+    return cache
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
 
 
 def test_expired_declines_are_removed() -> None:
-    declines = cached_decline()
-    assert not declines.is_empty(10.0)
-    assert declines.is_empty(10.0 + DECLINE_CACHE_SECONDS)
-    assert declines.is_empty(10.0)
+    cache = cached_decline()
+    assert not cache.is_empty(10.0)
+    assert cache.is_empty(10.0 + DECLINE_CACHE_SECONDS)
+    assert cache.is_empty(10.0)
--- a/tests/core/test_engine_prefix_cache.py
+++ b/tests/core/test_engine_prefix_cache.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("used", "asked", "cached"),
+    ("used", "requested", "cached"),
     [
         ([(A, B)], (A, B), 200),
         ([(A, B)], (A, C), 100),
@@ -19,16 +19,16 @@
         ([(A, B), (A, C)], (A, B), 100),
     ],
 )
-def test_held_parts_are_the_leading_ones_last_used(
+def test_cached_parts_are_the_leading_ones_last_used(
     used: list[tuple[PromptPart, ...]],
-    asked: tuple[PromptPart, ...],
+    requested: tuple[PromptPart, ...],
     cached: int,
 ) -> None:
     """Guards against parts that count as cached after their eviction."""
     cache = PrefixCache(200)
     for parts in used:
         cache.record_use(parts)
-    assert cache.cached_tokens(asked) == cached
+    assert cache.cached_tokens(requested) == cached
 
 
 def test_unshared_tokens_evict_shared_parts() -> None:
--- a/tests/core/test_entry_share.py
+++ b/tests/core/test_entry_share.py
@@ -6,7 +6,7 @@
 # The users' requirement: in any six seconds, a workspace gets at least half of
 # what it requested or half of what the best served one got, whichever is less.
 WINDOW_SECONDS = 6
-LEAST_SHARE = 0.5
+MIN_SHARE = 0.5
 START_SECONDS = 4
 
 
@@ -20,5 +20,5 @@
     several = Workspace("several", 550, hashes)
     centre = DataCentre(15, [one, several])
     centre.run(26)
-    share = centre.least_share("one", WINDOW_SECONDS, START_SECONDS)
-    assert share >= LEAST_SHARE
+    share = centre.min_share("one", WINDOW_SECONDS, START_SECONDS)
+    assert share >= MIN_SHARE
--- a/tests/core/test_hand_over.py
+++ b/tests/core/test_hand_over.py
@@ -38,32 +38,32 @@
 
 
 def test_router_without_delay_hands_nothing_over() -> None:
-    share = HandOverController()
+    controller = HandOverController()
     for _ in range(50):
-        share.record_loop_delay(IN_TIME)
-    assert not any(share.should_hand_over_next() for _ in range(100))
-    assert not share.is_busy
+        controller.record_loop_delay(IN_TIME)
+    assert not any(controller.should_hand_over_next() for _ in range(100))
+    assert not controller.is_busy
 
 
 def test_late_router_hands_all_over_within_a_second() -> None:
-    share = HandOverController()
+    controller = HandOverController()
     for _ in range(10):
-        share.record_loop_delay(LATE)
-    assert all(share.should_hand_over_next() for _ in range(100))
-    assert share.is_busy
+        controller.record_loop_delay(LATE)
+    assert all(controller.should_hand_over_next() for _ in range(100))
+    assert controller.is_busy
 
 
 def test_share_falls_slowly_after_an_overload() -> None:
     """Guards against oscillation between handing over all and none."""
-    share = HandOverController()
+    controller = HandOverController()
     for _ in range(10):
-        share.record_loop_delay(LATE)
+        controller.record_loop_delay(LATE)
     for _ in range(50):
-        share.record_loop_delay(IN_TIME)
-    assert sum(share.should_hand_over_next() for _ in range(100)) == 50
+        controller.record_loop_delay(IN_TIME)
+    assert sum(controller.should_hand_over_next() for _ in range(100)) == 50
     for _ in range(50):
-        share.record_loop_delay(IN_TIME)
-    assert not any(share.should_hand_over_next() for _ in range(100))
+        controller.record_loop_delay(IN_TIME)
+    assert not any(controller.should_hand_over_next() for _ in range(100))
 
 
 @pytest.mark.parametrize(
--- a/tests/core/test_retry_budget.py
+++ b/tests/core/test_retry_budget.py
@@ -6,19 +6,19 @@
 
 from lacewingspar_core.retry_budget import RetryBudget, RetryBudgetConfig
 
-BOUND = RetryBudgetConfig(ratio=0.2, window_seconds=10.0, base_retries=54.0)
+CONFIG = RetryBudgetConfig(ratio=0.2, window_seconds=10.0, base_retries=54.0)
 
 
 @pytest.mark.parametrize("routers", [1, 7, 10, 87])
 @pytest.mark.parametrize("rate", [0.0, 20.0, 200.0])
-def test_fleet_keeps_its_bound(routers: int, rate: float) -> None:
+def test_fleet_stays_within_its_retry_limit(routers: int, rate: float) -> None:
     """Guards against a retry storm when every upstream fails.
 
     Load: a steady rate of requests, unevenly spread over the fleet. All fail,
     and every router retries as often as its budget allows.
     """
     generator = random.Random(1)
-    budgets = [RetryBudget(BOUND) for _ in range(routers)]
+    budgets = [RetryBudget(CONFIG) for _ in range(routers)]
     weights = [generator.random() for _ in range(routers)]
     requests: list[float] = []
     retries: list[float] = []
@@ -31,19 +31,19 @@
             while budget.try_spend(routers, now):
                 retries.append(now)
     for end in (10.0, 15.0, 20.0, 29.9):
-        in_window = [t for t in retries if end - 10.0 <= t <= end]
-        asked = [t for t in requests if end - 10.0 <= t <= end]
-        assert len(in_window) <= 0.2 * len(asked) + 54
+        retries_in_window = [t for t in retries if end - 10.0 <= t <= end]
+        requests_in_window = [t for t in requests if end - 10.0 <= t <= end]
+        assert len(retries_in_window) <= 0.2 * len(requests_in_window) + 54
         # A single router can use about half of the limit.
         if routers == 1:
-            assert len(in_window) >= 0.08 * len(asked) + 20
+            assert len(retries_in_window) >= 0.08 * len(requests_in_window) + 20
 
 
-def test_restarted_routers_do_not_break_the_bound() -> None:
+def test_restarted_routers_do_not_exceed_the_retry_limit() -> None:
     """Guards against a new full budget at each restart."""
     retries = 0
     for _ in range(2):
-        budgets = [RetryBudget(BOUND) for _ in range(7)]
+        budgets = [RetryBudget(CONFIG) for _ in range(7)]
         for budget in budgets:
             while budget.try_spend(7, 1.0):
                 retries += 1
--- a/tests/core/test_router_concurrency_limit.py
+++ b/tests/core/test_router_concurrency_limit.py
@@ -37,7 +37,7 @@
     assert limit.try_acquire("a")
 
 
-def test_late_loop_lowers_the_limit_below_what_is_under_way() -> None:
+def test_late_loop_lowers_the_limit_below_what_is_in_flight() -> None:
     limit = loaded(a=50)
     late(limit, 2)
     assert limit.limit == 40
@@ -47,7 +47,7 @@
     assert limit.try_acquire("a")
 
 
-def test_limit_keeps_a_least_value() -> None:
+def test_limit_keeps_a_minimum() -> None:
     limit = loaded(a=50)
     late(limit, 1000)
     assert limit.limit == MIN_LIMIT
--- a/tests/router/components/test_quarantine.py
+++ b/tests/router/components/test_quarantine.py
@@ -35,7 +35,7 @@
         return upstream_id not in self.unreachable
 
 
-def subject(name: str) -> models.RequestIdentity:
+def identity(name: str) -> models.RequestIdentity:
     return models.RequestIdentity("s", "/p", name.encode())
 
 
@@ -58,7 +58,7 @@
 async def crash(router: Any, upstream_id: str, *names: str) -> None:
     """Crash an upstream that runs the named requests."""
     runs = [
-        await router.crashes.async_begin(subject(name), upstream_id)
+        await router.crashes.async_begin(identity(name), upstream_id)
         for name in names
     ]
     await router.crashes.start_crash_check(runs[0])
@@ -70,23 +70,23 @@
     """Guards against a quarantine that only one router applies."""
     first, second = await start("r1"), await start("r2")
     await crash(first, "u1", "x", "a")
-    await until(lambda: second.crashes.is_suspect(subject("x")))
-    assert not second.crashes.is_suspect(subject("other"))
-    run = await second.crashes.async_begin(subject("a"), "u2")
+    await until(lambda: second.crashes.is_suspect(identity("x")))
+    assert not second.crashes.is_suspect(identity("other"))
+    run = await second.crashes.async_begin(identity("a"), "u2")
     run.is_complete = True
     second.crashes.end(run, has_caller_left=False)
-    await until(lambda: not first.crashes.is_suspect(subject("a")))
+    await until(lambda: not first.crashes.is_suspect(identity("a")))
     await crash(second, "u2", "x", "b")
     await until(
-        lambda: first.crashes.remaining_quarantine_seconds(subject("x"))
+        lambda: first.crashes.remaining_quarantine_seconds(identity("x"))
     )
     for router in (first, second):
         assert (
             590
-            < router.crashes.remaining_quarantine_seconds(subject("x"))
+            < router.crashes.remaining_quarantine_seconds(identity("x"))
             <= 600
         )
-        assert not router.crashes.remaining_quarantine_seconds(subject("a"))
+        assert not router.crashes.remaining_quarantine_seconds(identity("a"))
 
 
 async def test_breaks_without_a_crash_make_no_suspects(start) -> None:
@@ -100,7 +100,7 @@
     router.pool.status_by_upstream["s", "u2"] = leaving
     for upstream_id in ("u1", "u2", "u3", "removed"):
         await crash(router, upstream_id, "x", "a")
-    assert not router.crashes.is_suspect(subject("x"))
+    assert not router.crashes.is_suspect(identity("x"))
 
 
 async def test_new_router_gets_all_records(start, until) -> None:
@@ -108,7 +108,7 @@
     await crash(first, "u1", "x")
     second = await start("r2")
     first.peers.listeners[0]()
-    await until(lambda: second.crashes.is_suspect(subject("x")))
+    await until(lambda: second.crashes.is_suspect(identity("x")))
     sent = [item for _, item in first.peers.sent if type(item) is Quarantine]
     first.peers.listeners[0]()
     assert len(sent) == 1
@@ -120,18 +120,20 @@
     A crash would count against both."""
     first, second = await start("r1"), await start("r2")
     await crash(first, "u1", "x", "a")
-    await until(lambda: second.crashes.is_suspect(subject("a")))
+    await until(lambda: second.crashes.is_suspect(identity("a")))
     begun = await asyncio.gather(
-        first.crashes.async_begin(subject("x"), "u2"),
-        second.crashes.async_begin(subject("a"), "u2"),
+        first.crashes.async_begin(identity("x"), "u2"),
+        second.crashes.async_begin(identity("a"), "u2"),
     )
     assert [run is not None for run in begun] == [True, False]
     wait = second.crashes.async_wait_for_free_upstream
-    assert await wait(subject("a"), lambda: {"u2", "u3"}, NO_DEADLINE) == {"u2"}
+    assert await wait(identity("a"), lambda: {"u2", "u3"}, NO_DEADLINE) == {
+        "u2"
+    }
     with pytest.raises(NoUpstreamForSuspectError):
-        await wait(subject("a"), lambda: {"u2"}, 0.0)
+        await wait(identity("a"), lambda: {"u2"}, 0.0)
     waiting = asyncio.create_task(
-        wait(subject("a"), lambda: {"u2"}, NO_DEADLINE)
+        wait(identity("a"), lambda: {"u2"}, NO_DEADLINE)
     )
     await asyncio.sleep(0)
     first.crashes.end(begun[0], has_caller_left=False)
@@ -144,9 +146,9 @@
     """Guards against a crash that is missed because its caller left."""
     monkeypatch.setattr(registry, "ABANDONED_RUN_SECONDS", 0.01)
     router = await start("r1")
-    run = await router.crashes.async_begin(subject("x"), "u1")
+    run = await router.crashes.async_begin(identity("x"), "u1")
     router.crashes.end(run, has_caller_left=True)
     status = SimpleNamespace(state="failing")
     router.pool.status_by_upstream["s", "u1"] = status
-    await until(lambda: router.crashes.is_suspect(subject("x")))
+    await until(lambda: router.crashes.is_suspect(identity("x")))
     assert router.crashes._runs_by_upstream == {}
--- a/tests/router/conftest.py
+++ b/tests/router/conftest.py
@@ -214,11 +214,11 @@
         )
 
 
-def answering(
+def responding(
     *parts: bytes,
     status: int = 200,
     headers: Mapping[str, str] | None = None,
-    answered_id: str | None = None,
+    response_request_id: str | None = None,
     is_complete: bool = True,
     hold: asyncio.Event | None = None,
     calls: list[Any] | None = None,
@@ -230,8 +230,8 @@
         parts: Chunks of the body.
         status: HTTP status code.
         headers: Additional response headers.
-        answered_id: Request id of the response, by default the one of the
-            request.
+        response_request_id: Request id of the response, by default the one of
+            the request.
         is_complete: Whether the app finishes the body.
         hold: Awaited after the chunks are sent.
         calls: Collects the ASGI scopes of the requests.
@@ -250,8 +250,8 @@
         if called is not None:
             called.set()
         request_id = dict(scope["headers"])[b"x-request-id"]
-        if answered_id is not None:
-            request_id = answered_id.encode()
+        if response_request_id is not None:
+            request_id = response_request_id.encode()
         sent = [(n.encode(), v.encode()) for n, v in (headers or {}).items()]
         sent.append((b"x-request-id", request_id))
         await send(
@@ -272,7 +272,7 @@
 def events(*parts: bytes, **options: Any) -> Upstream:
     """Return an upstream that sends an event stream."""
     headers = {"content-type": "text/event-stream; charset=utf-8"}
-    return answering(*parts, headers=headers, **options)
+    return responding(*parts, headers=headers, **options)
 
 
 @asynccontextmanager
--- a/tests/router/deployed/conftest.py
+++ b/tests/router/deployed/conftest.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class ReceivedResponse:
     """Response as received by the caller.
 
     Attributes:
@@ -68,7 +68,7 @@
         key: str | None = KEY,
         host: str = HOST,
         **headers: str,
-    ) -> Answer:
+    ) -> ReceivedResponse:
         """Send one request on a new connection."""
         request_id = headers.pop("x_attempt_id", f"a{next(self.ids)}")
         return await self.send(
@@ -84,27 +84,27 @@
             )
         )
 
-    async def send(self, data: bytes) -> Answer:
+    async def send(self, data: bytes) -> ReceivedResponse:
         """Send bytes on a new connection and return the response."""
         connection = await async_open_connection(self.address)
         connection.send(data)
-        answer = Answer()
+        response = ReceivedResponse()
         try:
             while True:
                 match await connection.async_next_event():
                     case ResponseHead(status, pairs):
-                        answer.status = status
-                        answer.headers = {
+                        response.status = status
+                        response.headers = {
                             name.decode(): value.decode()
                             for name, value in pairs
                         }
                     case ResponseEnd():
-                        answer.is_complete = True
-                        return answer
-                    case bytes() as part:
-                        answer.body += part
+                        response.is_complete = True
+                        return response
+                    case bytes() as chunk:
+                        response.body += chunk
         except Exception:
-            return answer
+            return response
         finally:
             connection.abort()
 
@@ -213,9 +213,9 @@
     "HOST",
     "KEY",
     "LIMITS",
-    "Answer",
     "Caller",
     "Deployment",
+    "ReceivedResponse",
     "Response",
     "manifest",
     "route",
--- a/tests/router/deployed/test_crash_guard.py
+++ b/tests/router/deployed/test_crash_guard.py
@@ -33,8 +33,8 @@
     caller = await deployment.add_router()
     statuses = []
     for _ in range(12):
-        answer = await caller.call("/write/", body=CRASHING_BODY)
-        statuses.append(answer.status)
+        response = await caller.call("/write/", body=CRASHING_BODY)
+        statuses.append(response.status)
         await asyncio.sleep(0.1)
         assert (await caller.call("/write/", body=b"fine")).status == 200
     assert total_crashes(deployment) <= 3
--- a/tests/router/deployed/test_endless_answers.py
+++ b/tests/router/deployed/test_endless_answers.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("path", ["/stream-once/x", "/write/x"])
 @pytest.mark.parametrize("part", sorted(ENDLESS_PARTS))
-async def test_endless_answer_is_aborted_early(
+async def test_endless_response_is_aborted_early(
     served: Deployment, part: str, path: str
 ) -> None:
     upstreams = served.upstream_by_id.values()
@@ -22,17 +22,17 @@
         upstream.faults.endless = part
     caller = await served.add_router()
     async with asyncio.timeout(10):
-        answer = await caller.call(path, budget_ms=8000)
-    assert answer.status in (200, 502)
-    assert not answer.is_complete or answer.status == 502
+        response = await caller.call(path, budget_ms=8000)
+    assert response.status in (200, 502)
+    assert not response.is_complete or response.status == 502
     sent = sum(upstream.endless_bytes for upstream in upstreams)
     assert 0 < sent < MAX_SENT_BYTES
 
 
-async def test_endless_answer_leaves_time_for_another_upstream(
+async def test_endless_response_leaves_time_for_another_upstream(
     served: Deployment,
 ) -> None:
     served.upstream_by_id["p1"].faults.endless = "header lines"
     caller = await served.add_router()
-    answers = [await caller.call("/read/x", "GET") for _ in range(4)]
-    assert [answer.status for answer in answers] == [200] * 4
+    responses = [await caller.call("/read/x", "GET") for _ in range(4)]
+    assert [response.status for response in responses] == [200] * 4
--- a/tests/router/deployed/test_forwarding.py
+++ b/tests/router/deployed/test_forwarding.py
@@ -35,10 +35,10 @@
     return sum(item.runs.total() for item in deployment.upstream_by_id.values())
 
 
-async def test_request_and_answer_pass_unchanged(served: Deployment) -> None:
+async def test_request_and_response_pass_unchanged(served: Deployment) -> None:
     """Guards against altered requests, leaked keys and forged workspaces."""
     caller = await served.add_router()
-    answer = await caller.call(
+    response = await caller.call(
         "/write/a%20b?c=1",
         body=b"body",
         x_attempt_id="id-1",
@@ -47,11 +47,11 @@
         kv_from="forged",
         x_custom="kept",
     )
-    assert answer.status == 200
-    assert answer.headers["x-server-seal"] == SEAL
-    assert answer.headers["x-attempt-id"] == "id-1"
+    assert response.status == 200
+    assert response.headers["x-server-seal"] == SEAL
+    assert response.headers["x-attempt-id"] == "id-1"
     (upstream,) = [item for item in upstreams(served, "p") if item.runs]
-    assert answer.body == b"answer of " + upstream.upstream_id.encode()
+    assert response.body == b"answer of " + upstream.upstream_id.encode()
     (request,) = upstream.received
     assert request.method == "POST"
     assert request.target == "/write/a%20b?c=1"
@@ -79,8 +79,8 @@
     served: Deployment, path: str, options: dict[str, Any], status: int
 ) -> None:
     caller = await served.add_router()
-    answer = await caller.call(path, "GET", **options)
-    assert answer.status == status
+    response = await caller.call(path, "GET", **options)
+    assert response.status == status
     assert total_runs(served) == (status == 200)
 
 
@@ -89,9 +89,9 @@
 ) -> None:
     """Guards against 401 and 404 before the configuration is loaded."""
     caller = await deployment.add_router()
-    answer = await caller.call("/read/", "GET")
-    assert answer.status == 503
-    assert float(answer.headers["retry-after"]) > 0
+    response = await caller.call("/read/", "GET")
+    assert response.status == 503
+    assert float(response.headers["retry-after"]) > 0
 
 
 NOT_RUN = {"refuse": True}
@@ -137,39 +137,39 @@
     for name, value in faults.items():
         setattr(chosen.faults, name, value)
     before = total_runs(served)
-    answer = await caller.call(path)
-    assert answer.status == status
+    response = await caller.call(path)
+    assert response.status == status
     assert total_runs(served) - before == runs
     if status == 200:
-        assert answer.is_complete
-        assert answer.body.startswith(b"answer of p")
+        assert response.is_complete
+        assert response.body.startswith(b"answer of p")
 
 
-async def test_extra_answers_reach_nobody(served: Deployment) -> None:
+async def test_extra_responses_reach_nobody(served: Deployment) -> None:
     """Guards against a response that is relayed to the next request."""
     caller = await served.add_router()
     for upstream in upstreams(served, "p"):
         upstream.faults.extra_answer = True
     for _ in range(10):
-        answer = await caller.call("/write/")
-        assert answer.body.startswith(b"answer of p")
+        response = await caller.call("/write/")
+        assert response.body.startswith(b"answer of p")
 
 
 async def test_all_upstreams_refuse(served: Deployment) -> None:
     caller = await served.add_router()
     for upstream in upstreams(served, "p"):
         upstream.faults.refuse = True
-    answer = await caller.call("/write/")
-    assert answer.status == 503
-    assert float(answer.headers["retry-after"]) > 0
+    response = await caller.call("/write/")
+    assert response.status == 503
+    assert float(response.headers["retry-after"]) > 0
     assert total_runs(served) == 0
 
 
 async def test_stream_passes_in_order(served: Deployment) -> None:
     caller = await served.add_router()
-    answer = await caller.call("/stream/1")
-    assert (answer.status, answer.body) == (200, STREAM)
-    assert answer.is_complete
+    response = await caller.call("/stream/1")
+    assert (response.status, response.body) == (200, STREAM)
+    assert response.is_complete
 
 
 @pytest.mark.parametrize("after", [0, 1, 4])
@@ -183,9 +183,9 @@
     first.faults.break_after_events = after
     first.faults.cut_event = cut_event
     for _ in range(8):
-        answer = await caller.call("/stream/1")
-        assert (answer.status, answer.body) == (200, STREAM)
-        assert answer.is_complete
+        response = await caller.call("/stream/1")
+        assert (response.status, response.body) == (200, STREAM)
+        assert response.is_complete
         if first.runs and second.runs:
             break
     assert first.runs
@@ -217,18 +217,18 @@
     caller = await served.add_router()
     for upstream in upstreams(served, "e"):
         upstream.faults.break_after_events = after
-    answer = await caller.call("/stream-once/1")
-    assert answer.status == status
+    response = await caller.call("/stream-once/1")
+    assert response.status == status
     assert total_runs(served) == 1
     if status == 200:
-        assert not answer.is_complete
-        assert STREAM.startswith(answer.body)
+        assert not response.is_complete
+        assert STREAM.startswith(response.body)
 
 
 async def test_caller_resumes_by_event_id(served: Deployment) -> None:
     caller = await served.add_router()
-    answer = await caller.call("/stream/1", last_event_id="3")
-    assert answer.body == STREAM[STREAM.index(b"id: 4") :]
+    response = await caller.call("/stream/1", last_event_id="3")
+    assert response.body == STREAM[STREAM.index(b"id: 4") :]
 
 
 @pytest.mark.parametrize("path", ["/stream/1", "/stream-once/1", "/read/"])
@@ -250,25 +250,27 @@
     ("path", "budget_ms", "status"),
     [("/write/", 300, 504), ("/stream-once/1", 300, 504), ("/read/", 300, 504)],
 )
-async def test_answer_comes_at_the_deadline(
+async def test_response_comes_at_the_deadline(
     served: Deployment, path: str, budget_ms: int, status: int
 ) -> None:
     caller = await served.add_router()
     for upstream in served.upstream_by_id.values():
         upstream.faults.mute = True
     begin = asyncio.get_running_loop().time()
-    answer = await caller.call(path, budget_ms=budget_ms)
-    assert answer.status == status
+    response = await caller.call(path, budget_ms=budget_ms)
+    assert response.status == status
     assert asyncio.get_running_loop().time() - begin < budget_ms / 1000 + 0.25
 
 
-async def test_silent_upstream_is_left_for_another(served: Deployment) -> None:
+async def test_unresponsive_upstream_is_left_for_another(
+    served: Deployment,
+) -> None:
     """Guards against callers that wait for an unresponsive upstream."""
     caller = await served.add_router()
     upstreams(served, "e")[0].faults.mute = True
     for _ in range(3):
-        answer = await caller.call("/stream/1")
-        assert answer.body == STREAM
+        response = await caller.call("/stream/1")
+        assert response.body == STREAM
 
 
 async def test_dead_upstream_costs_no_request(served: Deployment) -> None:
@@ -321,8 +323,8 @@
 ) -> None:
     """Guards against request smuggling."""
     caller = await served.add_router()
-    answer = await caller.send(data)
-    assert answer.status == status
+    response = await caller.send(data)
+    assert response.status == status
     assert total_runs(served) == 0
     assert (await caller.call("/read/", "GET")).status == 200
 
@@ -359,9 +361,9 @@
     begin = asyncio.get_running_loop().time()
 
     async def timed(caller: Caller) -> tuple[int, float, dict[str, str]]:
-        answer = await caller.call("/write/", budget_ms=2500)
+        response = await caller.call("/write/", budget_ms=2500)
         seconds = asyncio.get_running_loop().time() - begin
-        return answer.status, seconds, answer.headers
+        return response.status, seconds, response.headers
 
     results = await asyncio.gather(*(timed(caller) for _ in range(60)))
     served = [item for item in results if item[0] == 200]
@@ -369,12 +371,12 @@
     assert len(served) + len(refused) == 60
     assert len(served) >= 8
     assert all(float(item[2]["retry-after"]) > 0 for item in refused)
-    first_answer = min(item[1] for item in served)
-    early = [item for item in refused if item[1] < first_answer]
+    first_response_seconds = min(item[1] for item in served)
+    early = [item for item in refused if item[1] < first_response_seconds]
     assert len(early) >= 0.5 * len(refused)
 
 
-async def test_declined_workspace_is_not_asked_for_at_once_again(
+async def test_declined_workspace_is_refused_without_asking_the_pool_again(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against asking the pool again about requests it just declined.
@@ -392,10 +394,10 @@
         "p1", "plain", response_delay_seconds=0.25
     )
     caller = await deployment.add_router()
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(caller.call("/write/", budget_ms=2500) for _ in range(60))
     )
-    assert any(answer.status == 503 for answer in answers)
+    assert any(response.status == 503 for response in responses)
     arrived = len(plain.received)
     again = await caller.call("/write/", budget_ms=2500)
     assert again.status == 503
@@ -413,8 +415,8 @@
     monkeypatch.setattr(router_concurrency_limit, "MIN_LIMIT", 0)
     monkeypatch.setattr(router_concurrency_limit, "REQUESTS_PER_PROCESSOR", 0)
     caller = await served.add_router()
-    answer = await caller.call("/stream/1", key=key, x_attempt_id="id-1")
-    assert answer.status == status
-    assert answer.headers["x-attempt-id"] == "id-1"
-    assert ("retry-after" in answer.headers) == (status == 503)
+    response = await caller.call("/stream/1", key=key, x_attempt_id="id-1")
+    assert response.status == status
+    assert response.headers["x-attempt-id"] == "id-1"
+    assert ("retry-after" in response.headers) == (status == 503)
     assert total_runs(served) == 0
--- a/tests/router/deployed/test_hand_over.py
+++ b/tests/router/deployed/test_hand_over.py
@@ -14,8 +14,8 @@
 from lacewingspar_standins.deployed.documents import request_bytes
 
 
-class _FullHandOverShare(HandOverController):
-    """Hand-over share of an overloaded router: all requests."""
+class _FullHandOverController(HandOverController):
+    """Controller of an overloaded router: hands over all requests."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -30,7 +30,9 @@
     served: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> Caller:
     """Provide a caller of an overloaded router with an idle neighbour."""
-    monkeypatch.setattr(hand_over, "HandOverController", _FullHandOverShare)
+    monkeypatch.setattr(
+        hand_over, "HandOverController", _FullHandOverController
+    )
     caller = await served.add_router("r1")
     monkeypatch.undo()
     await served.add_router("r2")
@@ -63,12 +65,12 @@
 ) -> None:
     """Guards against a workspace limited to the capacity of one entry VM."""
     with structlog.testing.capture_logs() as lines:
-        answer = await overloaded_caller.call(
+        response = await overloaded_caller.call(
             path, method, body, x_other="kept", x_tenant="forged"
         )
-    assert answer.status == 200
-    assert answer.is_complete
-    assert answer.headers["x-server-seal"] == "seal"
+    assert response.status == 200
+    assert response.is_complete
+    assert response.headers["x-server-seal"] == "seal"
     (line,) = [item for item in lines if item["event"] == "request handed over"]
     assert line["neighbour"] == "r2"
     assert line["outcome"] == "answered"
@@ -104,12 +106,12 @@
     await until(lambda: any(engine.cancelled for engine in engines))
 
 
-async def test_router_that_is_gone_costs_no_request(
+async def test_stopped_router_costs_no_request(
     served: Deployment, overloaded_caller: Caller
 ) -> None:
     await served.apps[1].async_stop()
-    answers = [await overloaded_caller.call("/write/x") for _ in range(3)]
-    assert [answer.status for answer in answers] == [200] * 3
+    responses = [await overloaded_caller.call("/write/x") for _ in range(3)]
+    assert [response.status for response in responses] == [200] * 3
 
 
 async def test_stream_of_a_router_that_dies_never_looks_complete(
@@ -122,9 +124,9 @@
     await until(lambda: any(engine.running for engine in engines))
     await asyncio.sleep(0.3)
     await served.apps[1].async_stop()
-    answer = await call
-    assert answer.status in (200, 502)
-    assert answer.status == 502 or not answer.is_complete
+    response = await call
+    assert response.status in (200, 502)
+    assert response.status == 502 or not response.is_complete
 
 
 async def test_deadline_counts_from_the_first_arrival(
@@ -135,10 +137,10 @@
     The upstream would continue to run a request whose caller has timed out.
     """
     caller = await served.add_router()
-    answer = await caller.call(
+    response = await caller.call(
         "/write/x", budget_ms=3000, x_lacewingspar_waited_ms="1000"
     )
-    assert answer.status == 200
+    assert response.status == 200
     (request,) = [
         item
         for upstream in served.upstream_by_id.values()
--- a/tests/router/deployed/test_load_monitor.py
+++ b/tests/router/deployed/test_load_monitor.py
@@ -44,10 +44,10 @@
     monkeypatch.setattr(const, "LOAD_LOG_INTERVAL_SECONDS", 0.2)
     caller = await served.add_router()
     with structlog.testing.capture_logs() as lines:
-        answer = await caller.call(
+        response = await caller.call(
             "/stream/x", x_token_counts="100,20", x_length_hint="20"
         )
-        assert answer.status == 200
+        assert response.status == 200
         await until(lambda: _has_line(lines, "router load", offered=1))
         await until(lambda: _has_line(lines, "pool load", granted_cost=140))
     (load,) = [line for line in lines if line.get("offered") == 1]
--- a/tests/router/deployed/test_stopping.py
+++ b/tests/router/deployed/test_stopping.py
@@ -34,25 +34,25 @@
     caller = await served.add_router(stop_grace_seconds=GRACE_SECONDS)
     task = await drain(served)
     await asyncio.sleep(after_seconds)
-    answer = await caller.call(path)
-    assert answer.status == status
-    assert answer.is_complete
-    assert answer.headers["connection"] == "close"
+    response = await caller.call(path)
+    assert response.status == status
+    assert response.is_complete
+    assert response.headers["connection"] == "close"
     if status == 503:
-        assert float(answer.headers["retry-after"]) > 0
+        assert float(response.headers["retry-after"]) > 0
     await task
 
 
-async def test_stream_under_way_is_finished(served: Deployment) -> None:
+async def test_stream_in_flight_is_finished(served: Deployment) -> None:
     for upstream in served.upstream_by_id.values():
         upstream.response_delay_seconds = 0.15
     caller = await served.add_router(stop_grace_seconds=1.0)
     call = asyncio.create_task(caller.call("/stream/1"))
     await asyncio.sleep(0.2)
     task = await drain(served)
-    answer = await call
-    assert answer.is_complete
-    assert answer.body.endswith(b"event 5\n\n")
+    response = await call
+    assert response.is_complete
+    assert response.body.endswith(b"event 5\n\n")
     await task
 
 
--- a/tests/router/test_call_claims.py
+++ b/tests/router/test_call_claims.py
@@ -8,7 +8,7 @@
     AUTHORIZED,
     FakeClaims,
     Router,
-    answering,
+    responding,
     routed,
 )
 
@@ -25,9 +25,9 @@
 )
 
 KEYED = AUTHORIZED | {"idempotency-key": "key"}
-BROKEN = answering(b"half", is_complete=False)
-REFUSING = answering(status=503, headers={"x-not-run": "1"})
-GOOD = answering(b"good", headers={"content-type": "text/x"})
+BROKEN = responding(b"half", is_complete=False)
+REFUSING = responding(status=503, headers={"x-not-run": "1"})
+GOOD = responding(b"good", headers={"content-type": "text/x"})
 
 
 async def pay(router: Router) -> Any:
@@ -71,7 +71,7 @@
     ("body", "kept"), [(b"good", b"good"), (b"x" * 8193, None)]
 )
 async def test_outcome_is_recorded(body: bytes, kept: bytes | None) -> None:
-    upstream = answering(body, headers={"content-type": "text/x"})
+    upstream = responding(body, headers={"content-type": "text/x"})
     async with routed(upstream) as router:
         assert (await pay(router)).content == body
         assert router.claims.outcomes == [ClaimAnswered(200, "text/x", kept)]
@@ -86,7 +86,7 @@
         (REFUSING, True, True, "upstream_refused", "not_run", 1),
         (REFUSING, True, False, "upstream_refused", "unknown", 1),
         (
-            answering(is_complete=False),
+            responding(is_complete=False),
             True,
             True,
             "upstream_broken",
@@ -94,7 +94,7 @@
             0,
         ),
         (
-            answering(answered_id="x"),
+            responding(response_request_id="x"),
             True,
             True,
             "answer_mismatch",
@@ -130,10 +130,10 @@
     def __init__(self) -> None:
         super().__init__()
         self.decide = asyncio.Event()
-        self.asked = asyncio.Event()
+        self.claim_requested = asyncio.Event()
 
     async def async_claim(self, **call: Any) -> ClaimDecision:
-        self.asked.set()
+        self.claim_requested.set()
         await self.decide.wait()
         return await super().async_claim(**call)
 
@@ -143,7 +143,7 @@
     claims = SlowClaims()
     async with routed(GOOD, claims=claims) as router:
         request = asyncio.create_task(pay(router))
-        await claims.asked.wait()
+        await claims.claim_requested.wait()
         request.cancel()
         await router.proxy.in_flight.async_wait_empty()
         claims.decide.set()
@@ -154,7 +154,7 @@
 async def test_sent_call_continues_after_a_disconnect() -> None:
     """Guards against losing the outcome when the caller disconnects."""
     hold, called = asyncio.Event(), asyncio.Event()
-    upstream = answering(b"good", hold=hold, called=called)
+    upstream = responding(b"good", hold=hold, called=called)
     async with routed(upstream) as router:
         request = asyncio.create_task(pay(router))
         await called.wait()
--- a/tests/router/test_main.py
+++ b/tests/router/test_main.py
@@ -18,9 +18,9 @@
     FakePeers,
     FakeScheduler,
     FakeVmList,
-    answering,
     document,
     events,
+    responding,
     served,
     settings,
     sha256,
@@ -162,7 +162,7 @@
 ) -> None:
     """Guards against deployments that abort responses."""
     hold, called = asyncio.Event(), asyncio.Event()
-    upstream = answering(b"{}", hold=hold, called=called)
+    upstream = responding(b"{}", hold=hold, called=called)
     async with served(upstream) as port:
         daemon = Daemon(monkeypatch, port)
         run = daemon.start()
--- a/tests/router/test_retries.py
+++ b/tests/router/test_retries.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from tests.router.conftest import AUTHORIZED, answering, events, routed
+from tests.router.conftest import AUTHORIZED, events, responding, routed
 
 from lacewingspar_core.identity import RouterInstance
 from lacewingspar_core.messages import CrashRecord, Quarantine, SlotOutcome
@@ -14,11 +14,11 @@
 from lacewingspar_router.components.peers.models import ReceivedMessage
 from lacewingspar_router.components.quarantine.models import QUARANTINE
 
-BROKEN = answering(headers={"content-length": "9"}, is_complete=False)
+BROKEN = responding(headers={"content-length": "9"}, is_complete=False)
 CUT_EVENT = events(b'data: {"a', is_complete=False)
-REFUSING = answering(status=503, headers={"x-not-run": "1"})
-MISMATCH = answering(b"other", answered_id="other")
-GOOD = answering(b"good")
+REFUSING = responding(status=503, headers={"x-not-run": "1"})
+MISMATCH = responding(b"other", response_request_id="other")
+GOOD = responding(b"good")
 BODY = b'{"model":"small"}'
 
 
--- a/tests/router/test_streams.py
+++ b/tests/router/test_streams.py
@@ -7,7 +7,7 @@
 
 import httpx
 import pytest
-from tests.router.conftest import AUTHORIZED, Router, answering, events, routed
+from tests.router.conftest import AUTHORIZED, Router, events, responding, routed
 
 from lacewingspar_core.messages import SlotOutcome
 from lacewingspar_router.components.caller_api.const import (
@@ -47,7 +47,7 @@
     """Guards against a proxy that drops or adds parts of a response."""
     calls: list[Any] = []
     headers = {"x-a": "1", "set-cookie": "a=b", "connection": "x-b", "x-b": "2"}
-    upstream = answering(b"{}", status=418, headers=headers, calls=calls)
+    upstream = responding(b"{}", status=418, headers=headers, calls=calls)
     async with routed(upstream) as router:
         for _ in range(2):
             response = await router.client.put(
@@ -124,7 +124,7 @@
     headers: dict[str, str],
 ) -> None:
     """Guards against a truncated body that looks complete."""
-    upstream = answering(b"half", headers=headers, is_complete=False)
+    upstream = responding(b"half", headers=headers, is_complete=False)
     async with routed(upstream) as router:
         body, is_complete = await read(router, "/services/swap/x")
         assert (body, is_complete) == (b"half", False)
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("status", [200, 204, 304])
 async def test_responses_without_a_body(method: str, status: int) -> None:
     """Guards against waiting for a body that does not exist."""
-    upstream = answering(status=status)
+    upstream = responding(status=status)
     async with routed(upstream) as router:
         for _ in range(2):
             response = await router.client.request(
@@ -178,7 +178,7 @@
 
 
 async def test_path_of_a_request_names_its_hops() -> None:
-    async with routed(answering(b"{}")) as router:
+    async with routed(responding(b"{}")) as router:
         response = await router.chat()
         path = router.proxy.request_path(response.headers["x-request-id"])
         assert path is not None
