--- a/packages/router/src/lacewingspar_router/components/upstreams/health.py
+++ b/packages/router/src/lacewingspar_router/components/upstreams/health.py
@@ -197,7 +197,9 @@
 
     async def async_close(self) -> None:
         """Cancel all tasks."""
-        tasks = [w.task for w in self._monitored_by_key.values() if w.task]
+        tasks = [
+            item.task for item in self._monitored_by_key.values() if item.task
+        ]
         self._monitored_by_key.clear()
         self._status_by_key.clear()
         for task in tasks:
