--- a/packages/standins/src/lacewingspar_standins/bench/deployment.py
+++ b/packages/standins/src/lacewingspar_standins/bench/deployment.py
@@ -173,15 +173,19 @@
             self.plains[name] = standin
         return standin
 
-    async def cut_data_centre(self, data_centre: str, *, cut: bool) -> None:
+    async def set_data_centre_isolated(
+        self, data_centre: str, *, isolated: bool
+    ) -> None:
         """Disconnect a data centre from all others, or reconnect it."""
         for (source, target), link in self.links.items():
             if target != "platform" and data_centre in (source, target):
-                await link.inject(cut=cut)
+                await link.inject(cut=isolated)
 
-    async def cut_platform(self, data_centre: str, *, cut: bool) -> None:
+    async def set_platform_unreachable(
+        self, data_centre: str, *, unreachable: bool
+    ) -> None:
         """Disconnect a data centre from the platform, or reconnect it."""
-        await self.links[(data_centre, "platform")].inject(cut=cut)
+        await self.links[(data_centre, "platform")].inject(cut=unreachable)
 
     def _record_setting(self, plan: RouterPlan) -> dict[str, str]:
         if not self.records_events:
--- a/packages/standins/src/lacewingspar_standins/bench/fault_actions.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_actions.py
@@ -49,7 +49,7 @@
     """Violations and shutdowns seen while injecting faults.
 
     Attributes:
-        cut_requests: Requests aborted by a graceful shutdown, and failed
+        aborted_requests: Requests aborted by a graceful shutdown, and failed
             shutdowns.
         late_requests: Requests sent to a leaving upstream after the time limit.
         both_accepted: Pairs of conflicting edits that were both accepted.
@@ -57,7 +57,7 @@
         shutdowns: Graceful shutdowns.
     """
 
-    cut_requests: list[str] = field(default_factory=list)
+    aborted_requests: list[str] = field(default_factory=list)
     late_requests: list[str] = field(default_factory=list)
     both_accepted: list[str] = field(default_factory=list)
     edits: list[Edit] = field(default_factory=list)
@@ -84,8 +84,8 @@
             FaultKind.ROUTER_KILLED: self._router_killed,
             FaultKind.ROUTER_FROZEN: self._router_frozen,
             FaultKind.ROUTER_TERMINATED: self._router_terminated,
-            FaultKind.DATA_CENTRE_CUT: self._data_centre_cut,
-            FaultKind.PLATFORM_CUT: self._platform_cut,
+            FaultKind.DATA_CENTRE_ISOLATED: self._data_centre_isolated,
+            FaultKind.PLATFORM_UNREACHABLE: self._platform_unreachable,
             FaultKind.LINKS_SILENT: self._links_silent,
             FaultKind.LOG_OUTAGE: self._log_outage,
             FaultKind.LOG_SLOW: self._log_slow,
@@ -147,25 +147,35 @@
             GracefulShutdown(address, began_at, time.time())
         )
         lines = _find_abort_lines(router.log_file.read_text(errors="replace"))
-        self.observed.cut_requests += lines[len(lines_before) :]
+        self.observed.aborted_requests += lines[len(lines_before) :]
         if status != 0:
-            self.observed.cut_requests.append(f"{fault}: exit status {status}")
+            self.observed.aborted_requests.append(
+                f"{fault}: exit status {status}"
+            )
         await asyncio.sleep(fault.seconds)
         await self._deployment.start_router(self._plan(fault))
 
-    async def _data_centre_cut(self, fault: PlannedFault) -> None:
-        await self._deployment.cut_data_centre(fault.target, cut=True)
+    async def _data_centre_isolated(self, fault: PlannedFault) -> None:
+        await self._deployment.set_data_centre_isolated(
+            fault.target, isolated=True
+        )
         try:
             await asyncio.sleep(fault.seconds)
         finally:
-            await self._deployment.cut_data_centre(fault.target, cut=False)
+            await self._deployment.set_data_centre_isolated(
+                fault.target, isolated=False
+            )
 
-    async def _platform_cut(self, fault: PlannedFault) -> None:
-        await self._deployment.cut_platform(fault.target, cut=True)
+    async def _platform_unreachable(self, fault: PlannedFault) -> None:
+        await self._deployment.set_platform_unreachable(
+            fault.target, unreachable=True
+        )
         try:
             await asyncio.sleep(fault.seconds)
         finally:
-            await self._deployment.cut_platform(fault.target, cut=False)
+            await self._deployment.set_platform_unreachable(
+                fault.target, unreachable=False
+            )
 
     async def _links_silent(self, fault: PlannedFault) -> None:
         """Silently drop the traffic of a data centre's open connections."""
--- a/packages/standins/src/lacewingspar_standins/bench/fault_checks.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_checks.py
@@ -87,19 +87,19 @@
     ]
 
 
-def cut_by_shutdowns(
+def aborted_by_shutdowns(
     results: list[LoadResult], shutdowns: list[GracefulShutdown]
 ) -> list[str]:
     """Describe requests without a response from a router that shut down."""
     return [
-        f"{cut.marker}: {cut.outcome} {cut.at_seconds - shutdown.began_at:.2f}"
-        " s after the signal"
+        f"{broken.marker}: {broken.outcome} "
+        f"{broken.at_seconds - shutdown.began_at:.2f} s after the signal"
         for shutdown in shutdowns
         for result in results
-        for cut in result.broken_connections
-        if cut.address == shutdown.address
+        for broken in result.broken_connections
+        if broken.address == shutdown.address
         and shutdown.began_at
-        <= cut.at_seconds
+        <= broken.at_seconds
         <= shutdown.ended_at + CLIENT_DETECTION_SECONDS
     ]
 
--- a/packages/standins/src/lacewingspar_standins/bench/fault_plan.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_plan.py
@@ -19,8 +19,8 @@
     ROUTER_KILLED = "router-killed"
     ROUTER_FROZEN = "router-frozen"
     ROUTER_TERMINATED = "router-terminated"
-    DATA_CENTRE_CUT = "data-centre-cut"
-    PLATFORM_CUT = "platform-cut"
+    DATA_CENTRE_ISOLATED = "data-centre-cut"
+    PLATFORM_UNREACHABLE = "platform-cut"
     LINKS_SILENT = "links-silent"
     LOG_OUTAGE = "log-outage"
     LOG_SLOW = "log-slow"
@@ -36,8 +36,8 @@
     FaultKind.ROUTER_TERMINATED,
 )
 _DATA_CENTRE_KINDS = (
-    FaultKind.DATA_CENTRE_CUT,
-    FaultKind.PLATFORM_CUT,
+    FaultKind.DATA_CENTRE_ISOLATED,
+    FaultKind.PLATFORM_UNREACHABLE,
     FaultKind.LINKS_SILENT,
 )
 _UPSTREAM_KINDS = (FaultKind.UPSTREAM_KILLED, FaultKind.UPSTREAM_LEAVING)
@@ -124,6 +124,6 @@
     # A data centre cut off from the VM list does not see that a VM is leaving.
     kinds = {fault.kind, other.kind}
     return (
-        kinds == {FaultKind.UPSTREAM_LEAVING, FaultKind.PLATFORM_CUT}
+        kinds == {FaultKind.UPSTREAM_LEAVING, FaultKind.PLATFORM_UNREACHABLE}
         and fault.data_centre == other.data_centre
     )
--- a/packages/standins/src/lacewingspar_standins/bench/faults.py
+++ b/packages/standins/src/lacewingspar_standins/bench/faults.py
@@ -21,8 +21,8 @@
 )
 from lacewingspar_standins.bench.fault_actions import FaultInjector
 from lacewingspar_standins.bench.fault_checks import (
+    aborted_by_shutdowns,
     async_read_runs,
-    cut_by_shutdowns,
     differing_versions,
     repeated_runs,
     responses_without_run,
@@ -255,8 +255,8 @@
                 deployment, observed.edits
             ),
             "requests cut by a graceful shutdown": [
-                *observed.cut_requests,
-                *cut_by_shutdowns(loads, observed.shutdowns),
+                *observed.aborted_requests,
+                *aborted_by_shutdowns(loads, observed.shutdowns),
             ],
             "late work at leaving upstreams": observed.late_requests,
         },
--- a/packages/standins/src/lacewingspar_standins/bench/load_processes.py
+++ b/packages/standins/src/lacewingspar_standins/bench/load_processes.py
@@ -1,4 +1,4 @@
-"""Load generators in separate processes."""
+"""Runs load generators in separate processes."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True)
 class LoadProcess:
-    """A running load generator.
+    """A load generator in its own process.
 
     Attributes:
         name: Name of the process.
         process: The process.
-        output: File for its result.
+        output: File to which it writes its result.
     """
 
     name: str
@@ -27,10 +27,10 @@
     output: Path
 
     async def result(self) -> LoadResult:
-        """Wait until the load ends and return its result.
+        """Wait until the load generator exits and return its result.
 
         Raises:
-            FleetError: The load generator failed.
+            FleetError: The load generator exited with an error.
         """
         if await self.process.wait() != 0:
             raise FleetError(f"{self.name}: {self.process.log_tail()}")
@@ -41,11 +41,11 @@
 async def start_load(
     fleet: Fleet, name: str, options: LoadOptions
 ) -> LoadProcess:
-    """Start a load generator process."""
+    """Start a load generator in its own process."""
     options_file = fleet.folder / f"{name}.options.json"
     options_file.write_bytes(msgspec.json.encode(options))
-    output = fleet.folder / f"{name}.result.json"
+    result_file = fleet.folder / f"{name}.result.json"
     process = await fleet.start_module(
-        name, ["load", str(options_file), "--output", str(output)]
+        name, ["load", str(options_file), "--output", str(result_file)]
     )
-    return LoadProcess(name, process, output)
+    return LoadProcess(name, process, result_file)
--- a/packages/standins/src/lacewingspar_standins/bench/process_usage.py
+++ b/packages/standins/src/lacewingspar_standins/bench/process_usage.py
@@ -1,25 +1,30 @@
-"""Processor time and memory of another process, read from /proc."""
+"""CPU time and memory usage of a process, read from /proc."""
 
 import os
 import time
 from pathlib import Path
 
 _TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
-# Field indexes in /proc/PID/stat, counted after the command name.
-_USER_TICKS_FIELD = 11
-_SYSTEM_TICKS_FIELD = 12
+# Indexes of the fields of /proc/PID/stat that follow the command name.
+_USER_TICKS_INDEX = 11
+_SYSTEM_TICKS_INDEX = 12
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process in seconds."""
-    text = Path(f"/proc/{pid}/stat").read_text()
-    fields = text.rpartition(")")[2].split()
-    ticks = int(fields[_USER_TICKS_FIELD]) + int(fields[_SYSTEM_TICKS_FIELD])
+    """Return the CPU time of a process in user and kernel mode."""
+    stat = Path(f"/proc/{pid}/stat").read_text()
+    # The command name may contain spaces and parentheses.
+    fields = stat.rpartition(")")[2].split()
+    ticks = int(fields[_USER_TICKS_INDEX]) + int(fields[_SYSTEM_TICKS_INDEX])
     return ticks / _TICKS_PER_SECOND
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident set size of a process.
+
+    Raises:
+        ProcessLookupError: The process has no memory, such as a zombie.
+    """
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         name, _, value = line.partition(":")
         if name == "VmRSS":
@@ -28,21 +33,21 @@
 
 
 class CpuMeter:
-    """Measures the processor time of a process since construction.
+    """Measures the CPU time that a process uses from construction on.
 
     Args:
-        pid: Process id.
+        pid: Id of the process.
     """
 
     def __init__(self, pid: int) -> None:
         self._pid = pid
-        self._cpu_at_start = cpu_seconds(pid)
+        self._cpu_seconds_at_start = cpu_seconds(pid)
         self._started_at = time.monotonic()
 
     def used_seconds(self) -> float:
-        """Return the processor time since the start."""
-        return cpu_seconds(self._pid) - self._cpu_at_start
+        """Return the CPU time used since construction."""
+        return cpu_seconds(self._pid) - self._cpu_seconds_at_start
 
     def elapsed_seconds(self) -> float:
-        """Return the time since the start."""
+        """Return the time elapsed since construction."""
         return time.monotonic() - self._started_at
--- a/packages/standins/src/lacewingspar_standins/bench/processes.py
+++ b/packages/standins/src/lacewingspar_standins/bench/processes.py
@@ -1,4 +1,4 @@
-"""Command line of the benchmarks' helper processes."""
+"""Command line that runs the helper processes of the benchmarks."""
 
 from typing import Annotated
 
@@ -38,7 +38,7 @@
 
 @app.command()
 def proxy(target: str = "") -> None:
-    """Run the bare proxy."""
+    """Run a minimal reverse proxy in front of an engine."""
 
     async def main() -> None:
         await serve(bare_app(target), HOST, 0)
@@ -51,11 +51,11 @@
     chat: Annotated[list[str], typer.Option(help="Base URL of an engine.")],
     plain: Annotated[list[str], typer.Option(help="Base URL of a service.")],
 ) -> None:
-    """Run the baseline balancer."""
-    targets = {"/v1/": chat, "/services/": plain}
+    """Run the baseline load balancer in front of engines and services."""
+    targets_by_prefix = {"/v1/": chat, "/services/": plain}
 
     async def main() -> None:
-        await serve(LeastLoadedBalancer(targets), HOST, 0)
+        await serve(LeastLoadedBalancer(targets_by_prefix), HOST, 0)
 
     run_loop(main())
 
--- a/packages/standins/src/lacewingspar_standins/bench/propagation.py
+++ b/packages/standins/src/lacewingspar_standins/bench/propagation.py
@@ -54,7 +54,9 @@
         ) as client,
     ):
         if cut_platform:
-            await deployment.cut_platform(shape.data_centres[-1], cut=True)
+            await deployment.set_platform_unreachable(
+                shape.data_centres[-1], unreachable=True
+            )
         return [
             await _async_edit(deployment, client, number)
             for number in range(edits)
--- a/packages/standins/src/lacewingspar_standins/bench/report.py
+++ b/packages/standins/src/lacewingspar_standins/bench/report.py
@@ -1,4 +1,4 @@
-"""Benchmark reports as a table and as JSON."""
+"""Reports of benchmarks, as a table and as JSON."""
 
 import statistics
 from collections.abc import Mapping, Sequence
@@ -29,7 +29,7 @@
 def new_report(
     name: str, options: Figures, rounds: Sequence[Figures]
 ) -> Report:
-    """Create a report with the medians of all rounds."""
+    """Create a report with the median of each figure over the rounds."""
     names = list(dict.fromkeys(key for figures in rounds for key in figures))
     return Report(
         name=name,
@@ -45,10 +45,15 @@
 
 
 def print_report(report: Report, output: Path | None) -> None:
-    """Print a table of the figures, and write or print them as JSON."""
+    """Print the figures as a table and write the report as JSON.
+
+    Args:
+        report: The report.
+        output: File for the JSON, or None to print it.
+    """
     typer.echo(f"{'figure':<40} {'median':>11} {'lowest':>11} {'highest':>11}")
     for name, median in report.medians.items():
-        values = [item[name] for item in report.rounds if name in item]
+        values = [figures[name] for figures in report.rounds if name in figures]
         typer.echo(
             f"{name:<40} {median:>11.3f} {min(values):>11.3f}"
             f" {max(values):>11.3f}"
@@ -61,7 +66,12 @@
 
 
 def percentile(values: Sequence[float], percent: float) -> float:
-    """Return a percentile of the values."""
+    """Return the value nearest to a percentile, without interpolation.
+
+    Args:
+        values: The values in any order; not empty.
+        percent: The percentile, from 0 to 100.
+    """
     ordered = sorted(values)
     rank = round(percent / 100 * (len(ordered) - 1))
     return ordered[rank]
--- a/packages/standins/src/lacewingspar_standins/bench/rig.py
+++ b/packages/standins/src/lacewingspar_standins/bench/rig.py
@@ -1,4 +1,4 @@
-"""One router and one bare proxy in front of the same engine."""
+"""Test rig of the benchmark `path`: a router and bare proxies."""
 
 from dataclasses import dataclass
 
@@ -19,21 +19,22 @@
 DATA_CENTRE = "east"
 ENGINE_SLOTS = 2048
 STEP_MS = 10
-# Slow streams load the memory of the router, not its processor.
+# Slow streams use memory of the router but little CPU time.
 SLOW_STEP_MS = 1000
-# The router estimates queueing time from its recent grant rate. After a quiet
-# period the estimate is long, and with a deadline of 60 s the router refuses a
-# burst although slots are free. This benchmark does not measure that estimate.
-LONG_DEADLINE = RequestClass(name="default", deadline_seconds=86_400.0)
+# The router estimates the queueing time from its recent grant rate. After an
+# idle period the estimate is long, and with a deadline of 60 s the router
+# refuses a burst although slots are free. This benchmark does not measure the
+# estimate.
+LONG_DEADLINE_CLASS = RequestClass(name="default", deadline_seconds=86_400.0)
 
 
 @dataclass(frozen=True, slots=True)
 class PathRig:
-    """Processes of the benchmark.
+    """Running processes of the benchmark.
 
     Attributes:
-        engine: Engine with the fast model.
-        slow_engine: Engine with the slow model.
+        engine: Engine that serves the fast model.
+        slow_engine: Engine that serves the slow model.
         proxy: Bare proxy in front of the fast engine.
         slow_proxy: Bare proxy in front of the slow engine.
         router: Router in front of both engines.
@@ -48,12 +49,12 @@
     router_address: str
 
     def pid_of(self, path: str) -> int:
-        """Return the id of the process to measure for a path."""
+        """Return the process id of the router or of the bare proxy."""
         process = self.router if path == "router" else self.proxy
         return process.process.pid
 
     def address_of(self, path: str) -> str:
-        """Return the address for fast-model requests over a path."""
+        """Return the address to which a path's fast-model requests go."""
         return {
             "direct": self.engine.address,
             "bare": self.proxy.address,
@@ -62,7 +63,7 @@
 
 
 async def start_path_rig(fleet: Fleet) -> PathRig:
-    """Start all processes and publish the document."""
+    """Start all processes, publish the document and await readiness."""
     log = await fleet.start_standin("log", name="log")
     vms = await fleet.start_standin("vms", name="vms")
     engine = await _start_engine(fleet, MODEL_FAST, STEP_MS)
@@ -82,7 +83,7 @@
             _upstream(MODEL_SLOW, slow_engine),
         ),
         workspaces=(workspace_entry(WORKSPACE, queue_limit=10_000),),
-        request_classes=(LONG_DEADLINE,),
+        request_classes=(LONG_DEADLINE_CLASS,),
     )
     await fleet.publish(plan.admin_address, document)
     await router.wait_ready(plan.admin_address, DEFAULT_READY_SECONDS)
--- a/packages/standins/src/lacewingspar_standins/bench/share.py
+++ b/packages/standins/src/lacewingspar_standins/bench/share.py
@@ -260,9 +260,9 @@
     if options.cut_seconds and deployment.plans:
         data_centre = deployment.shape.data_centres[-1]
         await asyncio.sleep(options.seconds / 6)
-        await deployment.cut_data_centre(data_centre, cut=True)
+        await deployment.set_data_centre_isolated(data_centre, isolated=True)
         await asyncio.sleep(options.cut_seconds)
-        await deployment.cut_data_centre(data_centre, cut=False)
+        await deployment.set_data_centre_isolated(data_centre, isolated=False)
 
 
 def _print(result: ShareResult) -> None:
--- a/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
@@ -46,7 +46,7 @@
         sent_at: Time of sending in seconds of the event loop.
         deadline_seconds: Deadline of the request, relative to `sent_at`.
         ended_at: Time at which the exchange ended, or infinity.
-        left_at: Time at which the caller disconnected, or infinity.
+        disconnected_at: Time at which the caller disconnected, or infinity.
         status: HTTP status, or 0 without a response.
         headers: Response headers by lower-case name.
         body: Body received so far.
@@ -59,7 +59,7 @@
     sent_at: float
     deadline_seconds: float
     ended_at: float = float("inf")
-    left_at: float = float("inf")
+    disconnected_at: float = float("inf")
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
@@ -68,7 +68,7 @@
     @property
     def is_closed_early(self) -> bool:
         """Return whether the connection closed before the response ended."""
-        return not self.is_complete and self.left_at == float("inf")
+        return not self.is_complete and self.disconnected_at == float("inf")
 
 
 class SoakCallers:
@@ -153,7 +153,7 @@
             async with asyncio.timeout(timeout_seconds):
                 await _async_read(connection, call)
         except TimeoutError:
-            call.left_at = loop.time()
+            call.disconnected_at = loop.time()
         except (ConnectionBrokenError, InvalidResponseError):
             call.ended_at = loop.time()
         else:
--- a/packages/standins/src/lacewingspar_standins/bench/soak_checks.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_checks.py
@@ -105,7 +105,7 @@
 
 
 def _wrong_responses(observations: SoakObservations) -> list[str]:
-    whole = [
+    expected = [
         str(number).encode() for number in range(1, observations.events + 1)
     ]
     found = []
@@ -118,9 +118,9 @@
             found.append(f"{call.request_id}: success without an upstream")
         elif call.headers.get("x-attempt-id") != call.request_id:
             found.append(f"{call.request_id}: response to another request")
-        elif is_stream and numbers != whole[: len(numbers)]:
+        elif is_stream and numbers != expected[: len(numbers)]:
             found.append(f"{call.request_id}: events {numbers!r}")
-        elif is_stream and call.is_complete and numbers != whole:
+        elif is_stream and call.is_complete and numbers != expected:
             found.append(f"{call.request_id}: ends after {len(numbers)} events")
         elif (
             not is_stream
@@ -156,9 +156,11 @@
         due_at = (
             call.sent_at + call.deadline_seconds + MAX_RESPONSE_DELAY_SECONDS
         )
-        seen_at = min(call.ended_at, call.left_at)
-        has_left = call.left_at < call.sent_at + call.deadline_seconds
-        if has_left or seen_at == math.inf or seen_at <= due_at:
+        seen_at = min(call.ended_at, call.disconnected_at)
+        has_disconnected = (
+            call.disconnected_at < call.sent_at + call.deadline_seconds
+        )
+        if has_disconnected or seen_at == math.inf or seen_at <= due_at:
             continue
         if observations.is_fault_free(call.sent_at, due_at, call.router_id):
             found.append(
@@ -177,14 +179,16 @@
             call = call_by_id.get(request_id)
             if (
                 call is None
-                or received.at <= call.left_at + MAX_DISCONNECT_DELAY_SECONDS
+                or received.at
+                <= call.disconnected_at + MAX_DISCONNECT_DELAY_SECONDS
             ):
                 continue
             if observations.is_fault_free(
                 call.sent_at, received.at, call.router_id, "link"
             ):
                 found.append(
-                    f"{request_id}: {received.at - call.left_at:.2f} s after"
+                    f"{request_id}: "
+                    f"{received.at - call.disconnected_at:.2f} s after"
                 )
     return found
 
@@ -217,15 +221,15 @@
 def _sent_while_draining(observations: SoakObservations) -> list[str]:
     found = []
     upstream_by_id = {item.upstream_id: item for item in observations.upstreams}
-    for upstream_id, left_at, back_at in observations.drains:
-        since = left_at + MAX_DRAIN_DELAY_SECONDS
+    for upstream_id, started_at, ended_at in observations.drains:
+        since = started_at + MAX_DRAIN_DELAY_SECONDS
         found += [
             f"{received.value_by_header.get('x-attempt-id')}: at {upstream_id}"
-            f" {received.at - left_at:.2f} s after"
+            f" {received.at - started_at:.2f} s after"
             for received in upstream_by_id[upstream_id].received
-            if since < received.at < back_at
+            if since < received.at < ended_at
             and observations.is_fault_free(
-                left_at, received.at, "store", "link"
+                started_at, received.at, "store", "link"
             )
         ]
     return found
@@ -272,7 +276,7 @@
         for call in observations.calls
         if call.sent_at > observations.faults_end_at
         and not call.path.startswith("/flip-")
-        and call.left_at == math.inf
+        and call.disconnected_at == math.inf
         and call.ended_at < math.inf
     ]
     served = sum(call.status == 200 and call.is_complete for call in calls)
--- a/packages/standins/src/lacewingspar_standins/demo/main.py
+++ b/packages/standins/src/lacewingspar_standins/demo/main.py
@@ -19,9 +19,9 @@
 from lacewingspar_standins.demo.summary import check_lines, summary_lines
 from lacewingspar_standins.demo.verdict import (
     Check,
-    check_answers,
     check_duplicates,
     check_not_run,
+    check_responses,
     check_served,
     check_shutdown,
     read_runs,
@@ -40,8 +40,9 @@
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_INTERRUPTED = 130
-DEFAULT_SECONDS = 20.0
-# The load continues after both failures, so that their effect is visible.
+DEFAULT_LOAD_SECONDS = 20.0
+# Times of the failures as fractions of the load's duration. The load continues
+# after both, so that their effect is visible.
 KILL_AT_FRACTION = 0.4
 TERMINATE_AT_FRACTION = 0.6
 KILLED_UPSTREAM = "west-engine-2"
@@ -64,7 +65,7 @@
 def demo(
     seconds: Annotated[
         float, typer.Option(min=1, max=600, help="Duration of the load.")
-    ] = DEFAULT_SECONDS,
+    ] = DEFAULT_LOAD_SECONDS,
     keep: Annotated[
         bool, typer.Option("--keep", help="Keep the fleet until Ctrl-C.")
     ] = False,
@@ -73,14 +74,14 @@
     """Run a small fleet under load and stop an upstream and a router."""
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            code = runner.run(run_demo(seconds, seed, keep=keep))
+            exit_code = runner.run(run_demo(seconds, seed, keep=keep))
     except (KeyboardInterrupt, asyncio.CancelledError):
         typer.echo("interrupted; all processes have ended", err=True)
-        code = EXIT_INTERRUPTED
+        exit_code = EXIT_INTERRUPTED
     except FleetError as error:
         typer.echo(f"demo failed: {error}", err=True)
-        code = EXIT_FAILED
-    raise typer.Exit(code)
+        exit_code = EXIT_FAILED
+    raise typer.Exit(exit_code)
 
 
 def run() -> None:
@@ -99,31 +100,31 @@
             f"{len(small_fleet.routers)} routers and "
             f"{len(small_fleet.upstreams)} upstreams in 2 data centres"
         )
-        checks = await _run_main_job(small_fleet, seconds, seed)
+        checks = await _run_scenario(small_fleet, seconds, seed)
         if keep:
-            await _keep(small_fleet)
+            await _wait_for_signal(small_fleet)
     has_failed = any(check.failures for check in checks)
     return EXIT_FAILED if has_failed else EXIT_OK
 
 
-async def _run_main_job(
+async def _run_scenario(
     small_fleet: SmallFleet, seconds: float, seed: int
 ) -> list[Check]:
-    """Run load and failures, print the summary and return the checks."""
+    """Run the load, cause the failures, print a summary and return checks."""
     async with _sampling(small_fleet) as sampler, asyncio.TaskGroup() as group:
         typer.echo(f"load of three workspaces for {seconds:g} s")
-        failures = group.create_task(_cause_failures(small_fleet, seconds))
-        load = group.create_task(
+        failure_task = group.create_task(_cause_failures(small_fleet, seconds))
+        load_task = group.create_task(
             run_load(
                 _load_options(small_fleet, seconds, seed),
                 lambda: sampler.ready_addresses,
             )
         )
-        await load
-        await failures
-    result = load.result()
+        await load_task
+        await failure_task
+    result = load_task.result()
     weights = {item.name: item.weight for item in WORKSPACES}
-    checks = await _checks(small_fleet, result)
+    checks = await _run_checks(small_fleet, result)
     for line in (
         *summary_lines(result, sampler.samples, weights),
         *check_lines(checks),
@@ -134,6 +135,7 @@
 
 @contextlib.asynccontextmanager
 async def _sampling(small_fleet: SmallFleet) -> AsyncIterator[Sampler]:
+    """Sample the fleet in the background until the context ends."""
     sampler = Sampler(small_fleet)
     task = asyncio.create_task(sampler.run())
     try:
@@ -159,10 +161,12 @@
     typer.echo(f"router {TERMINATED_ROUTER} ended with status {status}")
 
 
-async def _checks(small_fleet: SmallFleet, result: LoadResult) -> list[Check]:
+async def _run_checks(
+    small_fleet: SmallFleet, result: LoadResult
+) -> list[Check]:
     runs = await read_runs(small_fleet)
     return [
-        check_answers(result),
+        check_responses(result),
         check_duplicates(result, runs),
         check_not_run(result, runs),
         check_shutdown(
@@ -194,8 +198,8 @@
     )
 
 
-async def _keep(small_fleet: SmallFleet) -> None:
-    """Print how to use the fleet and wait for a signal."""
+async def _wait_for_signal(small_fleet: SmallFleet) -> None:
+    """Print the addresses and tokens of the fleet and wait for a signal."""
     token = token_of("north")
     address = ""
     typer.echo("Routers (callers / administration)")
@@ -226,9 +230,9 @@
 
 
 def _cancel_on_signals() -> None:
-    """Cancel the demo on SIGINT and SIGTERM so that it cleans up."""
+    """Cancel the demo on SIGINT and SIGTERM, so that it stops the fleet."""
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, task.cancel)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, task.cancel)
--- a/packages/standins/src/lacewingspar_standins/demo/verdict.py
+++ b/packages/standins/src/lacewingspar_standins/demo/verdict.py
@@ -18,7 +18,7 @@
 from lacewingspar_standins.process import RouterProcess
 
 ABORT_LOG_EVENT = b"request cut by shutdown"
-# Outcomes for the caller when a router ends before its response does.
+# Outcomes of a caller whose router exits before it completes the response.
 ABORT_OUTCOMES = (OUTCOME_BROKEN, "no_answer")
 
 
@@ -62,7 +62,7 @@
     return runs
 
 
-def check_answers(result: LoadResult) -> Check:
+def check_responses(result: LoadResult) -> Check:
     """Check that every response is complete and matches its request."""
     failures = result.problems
     wrong = result.count(OUTCOME_WRONG_ANSWER)
@@ -102,8 +102,8 @@
     """Check that every workspace got responses."""
     failures = [
         f"workspace {name} got no successful response"
-        for name, of_workspace in result.by_workspace.items()
-        if not of_workspace.finals_by_outcome.get(OUTCOME_OK)
+        for name, workspace_result in result.by_workspace.items()
+        if not workspace_result.finals_by_outcome.get(OUTCOME_OK)
     ]
     return Check("every workspace was served", tuple(failures))
 
--- a/tests/e2e/test_poison.py
+++ b/tests/e2e/test_crashing_request.py
@@ -53,10 +53,10 @@
 async def chat(
     client: httpx.AsyncClient, address: str, name: str, text: str, **more: Any
 ) -> tuple[httpx.Response, str]:
-    """Return a response and the part of its body that was received."""
+    """Send a chat request; return the response and the body received."""
     messages = [{"role": "user", "content": text}]
     body = {"model": "m", "messages": messages, "max_tokens": 20, **more}
-    # Limits the time of the attack when all engines are lost.
+    # Bounds the duration of the test when all engines have crashed.
     headers = {"x-deadline-ms": "5000"} if name == "evil" else {}
     headers["authorization"] = f"Bearer {token_of(name)}"
     received = ""
--- a/tests/e2e/test_failures.py
+++ b/tests/e2e/test_failures.py
@@ -108,7 +108,9 @@
         document["workspaces"][0]["queue_limit"] = 7
         first, *_, remote = deployment.plans
         versions = await read_versions(client, first)
-        await deployment.cut_platform(remote.data_centre, cut=True)
+        await deployment.set_platform_unreachable(
+            remote.data_centre, unreachable=True
+        )
         url = f"http://{first.admin_address}/v1/services/{SERVICE_CHAT}"
         body = {
             "edit_id": "edit",
--- a/tests/e2e/test_main_job.py
+++ b/tests/e2e/test_main_job.py
@@ -14,9 +14,9 @@
     SmallFleet,
 )
 from lacewingspar_standins.demo.verdict import (
-    check_answers,
     check_duplicates,
     check_not_run,
+    check_responses,
     check_served,
     read_runs,
 )
@@ -57,7 +57,7 @@
     return f"http://{small_fleet.plans[router_id].caller_address}{path}"
 
 
-async def test_streamed_chat_answer_is_whole(
+async def test_streamed_chat_response_is_complete(
     small_fleet: SmallFleet, http: httpx.AsyncClient
 ) -> None:
     """Guards against incomplete, mixed-up or malformed streams."""
@@ -135,7 +135,7 @@
     assert runs.by_key["alpha/order-1"] == 1
 
 
-async def test_mixed_load_is_answered_correctly(
+async def test_mixed_load_gets_correct_responses(
     small_fleet: SmallFleet,
 ) -> None:
     """Guards against duplicates, mixed-up responses and starvation."""
@@ -156,7 +156,7 @@
     result = await run_load(options)
     runs = await read_runs(small_fleet)
     for check in (
-        check_answers(result),
+        check_responses(result),
         check_duplicates(result, runs),
         check_not_run(result, runs),
         check_served(result),
--- a/tests/e2e/test_soak.py
+++ b/tests/e2e/test_soak.py
@@ -10,7 +10,7 @@
 
 # Add seeds that have failed, each with its cause.
 @pytest.mark.parametrize("seed", [1])
-async def test_soak_breaks_no_promise(seed: int) -> None:
+async def test_soak_violates_no_guarantee(seed: int) -> None:
     result = await async_soak(seed, ROUNDS, ROUTERS)
     assert not result.breaches
     assert result.calls_by_status[200] > 0
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -111,7 +111,7 @@
     connection.close()
 
 
-async def test_cut_stream_has_the_configured_number_of_events(
+async def test_interrupted_stream_has_the_configured_number_of_events(
     engine: Any,
 ) -> None:
     await engine.inject(cut_after=2)
--- a/tests/standins/test_fault_checks.py
+++ b/tests/standins/test_fault_checks.py
@@ -9,7 +9,7 @@
 from lacewingspar_standins.bench.fault_actions import GracefulShutdown
 from lacewingspar_standins.bench.fault_checks import (
     UpstreamRuns,
-    cut_by_shutdowns,
+    aborted_by_shutdowns,
     differing_versions,
     repeated_runs,
     responses_without_run,
@@ -42,17 +42,17 @@
 
 
 @pytest.mark.parametrize(
-    ("address", "at_seconds", "is_cut"),
+    ("address", "at_seconds", "is_aborted"),
     [("r", 9.0, False), ("r", 11.0, True), ("s", 11.0, False)],
 )
 def test_request_without_response_at_a_shutdown(
-    address: str, at_seconds: float, is_cut: bool
+    address: str, at_seconds: float, is_aborted: bool
 ) -> None:
-    """Guards against overlooking requests cut off by a graceful shutdown."""
+    """Guards against overlooking requests aborted by a graceful shutdown."""
     broken = BrokenConnection(at_seconds, address, "no_answer", "m")
     load = LoadResult(0.0, {}, (), (), (), {}, 0.0, (broken,))
     shutdowns = [GracefulShutdown("r", 10.0, 12.0)]
-    assert bool(cut_by_shutdowns([load], shutdowns)) is is_cut
+    assert bool(aborted_by_shutdowns([load], shutdowns)) is is_aborted
 
 
 def test_reverted_version_is_a_breach() -> None:
