--- a/packages/standins/src/lacewingspar_standins/bench/capacity_routers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/capacity_routers.py
@@ -1,4 +1,4 @@
-"""Slopes of one real router process."""
+"""Cost of one real router process."""
 
 import asyncio
 import time
@@ -33,7 +33,7 @@
 from lacewingspar_standins.process import RouterProcess, StandInProcess
 
 DATA_CENTRES = 5
-SEEDS = 5
+SEED_HOSTS = 5
 # Routers of the data centre that share its upstreams.
 SHARING_ROUTERS = 20
 READY_SECONDS = 60.0
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class _Rig:
-    """One router with the stand-ins that it needs."""
+    """A router and the stand-ins that it depends on."""
 
     fleet: Fleet
     log: StandInProcess
@@ -70,7 +70,7 @@
     def plan_peers(
         self, routers: int, data_centres: int
     ) -> tuple[RouterPlan, ...]:
-        """Reserve the ports of all routers but the real one."""
+        """Reserve the ports of the synthetic peers."""
         return tuple(
             self.fleet.plan_router(
                 f"router-{index:03}", f"dc-{index % data_centres + 1}"
@@ -81,10 +81,10 @@
     async def start_peers(
         self, peers: tuple[RouterPlan, ...], seed: int
     ) -> None:
-        """Start the process that plays the other routers."""
+        """Start the process that simulates the other routers."""
         options = SyntheticPeersOptions(
-            target=_synthetic(self.plan),
-            peers=tuple(_synthetic(peer) for peer in peers),
+            target=_synthetic_peer(self.plan),
+            peers=tuple(_synthetic_peer(peer) for peer in peers),
             seed=seed,
         )
         options_file = self.fleet.folder / "peers.json"
@@ -94,7 +94,7 @@
         )
 
     async def figures(self, seconds: float) -> dict[str, float]:
-        """Return traffic, processor time and memory over a time."""
+        """Measure traffic, processor time and memory for some seconds."""
         await asyncio.sleep(SETTLE_SECONDS)
         before = await self._read()
         await asyncio.sleep(seconds)
@@ -129,10 +129,10 @@
 async def async_measure_peers(
     routers: int, seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the cost of a router against the routers of the fleet."""
+    """Return the cost of a router for a number of peers."""
     async with _rig() as rig:
         peers = rig.plan_peers(routers, DATA_CENTRES)
-        await rig.start(peers[:SEEDS])
+        await rig.start(peers[:SEED_HOSTS])
         await rig.start_peers(peers, seed)
         return await rig.figures(seconds)
 
@@ -140,7 +140,7 @@
 async def async_measure_upstreams(
     upstreams: int, _seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the cost of a router against its data centre's upstreams."""
+    """Return the cost of a router for a number of local upstreams."""
     async with _rig() as rig:
         standin = await rig.fleet.start_standin("plain", name="plain", slots=64)
         document = _document(upstreams)
@@ -152,12 +152,12 @@
 async def async_measure_shared_upstreams(
     upstreams: int, seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the same for a router that shares them with others."""
+    """Return the cost of a router that shares its upstreams with peers."""
     async with _rig() as rig:
         standin = await rig.fleet.start_standin("plain", name="plain", slots=64)
         document = _document(upstreams)
         peers = rig.plan_peers(SHARING_ROUTERS, data_centres=1)
-        await rig.start(peers[:SEEDS], _address_map(document, standin))
+        await rig.start(peers[:SEED_HOSTS], _address_map(document, standin))
         await rig.start_peers(peers, seed)
         await rig.fleet.publish(rig.plan.admin_address, document)
         return await rig.figures(seconds)
@@ -166,7 +166,7 @@
 async def async_measure_vms(
     vms: int, _seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the cost of a router against the VMs in the list."""
+    """Return the cost of a router for a number of VMs in the list."""
     vm_list = VmList(
         tuple(
             Vm(f"vm-{index:05}", f"dc-{index % DATA_CENTRES + 1}", VmState.LIVE)
@@ -182,7 +182,7 @@
 async def async_measure_requests(
     rate: int, seed: int, seconds: float
 ) -> dict[str, float]:
-    """Return the cost of a router against its requests a second."""
+    """Return the cost of a router for a request rate."""
     async with _rig() as rig:
         standin = await rig.fleet.start_standin("plain", name="plain", slots=64)
         document = _document(1)
@@ -213,23 +213,23 @@
 
 
 def _read_http_bytes(pid: int) -> float:
-    """Return the bytes that a router has read from TCP connections.
+    """Return the bytes that a router has read from HTTP connections.
 
-    The event loop reads them with `read`, which the kernel counts; ZeroMQ uses
-    `recv`, which it does not count.
+    The event loop calls `read`, which the kernel counts in /proc. ZeroMQ calls
+    `recv`, which is not counted there.
     """
     text = Path(f"/proc/{pid}/io").read_text(encoding="ascii")
     return float(text.split("rchar:")[1].split()[0])
 
 
-def _synthetic(plan: RouterPlan) -> SyntheticPeer:
+def _synthetic_peer(plan: RouterPlan) -> SyntheticPeer:
     return SyntheticPeer(plan.router_id, plan.data_centre, plan.peer_address)
 
 
 def _address_map(
     document: ServiceDocument, standin: StandInProcess
 ) -> dict[str, str]:
-    """Let one stand-in serve all upstreams, whose addresses must differ."""
+    """Map the distinct address of each upstream to one stand-in."""
     return {
         upstream.address.removeprefix("http://"): standin.address
         for upstream in document.upstreams
--- a/packages/standins/src/lacewingspar_standins/bench/fault_actions.py
+++ b/packages/standins/src/lacewingspar_standins/bench/fault_actions.py
@@ -1,4 +1,4 @@
-"""Applies planned faults to a deployment and heals them."""
+"""Injects planned faults into a deployment and reverts them."""
 
 import asyncio
 import random
@@ -19,13 +19,13 @@
 from lacewingspar_standins.fleet_settings import RouterPlan
 from lacewingspar_standins.process import StandInProcess
 
-LEAVING_TARGET_SECONDS = 3.0
-LOG_SLOW_MS = 400.0
+LEAVING_GRACE_SECONDS = 3.0
+SLOW_LOG_DELAY_MS = 400.0
 LOST_REPLIES_PERIOD_SECONDS = 0.3
 EDITS_PERIOD_SECONDS = 1.0
-# Longer than any request of the load may take, retries included.
+# Exceeds the longest request of the load, including retries.
 SHUTDOWN_LIMIT_SECONDS = 90.0
-LOG_LINE_OF_CUT = "request cut by shutdown"
+ABORT_LOG_EVENT = "request cut by shutdown"
 POLL_SECONDS = 0.05
 
 
@@ -45,27 +45,27 @@
 
 
 @dataclass(slots=True)
-class Observed:
-    """What the faults themselves have shown.
+class FaultObservations:
+    """Violations and shutdowns seen while injecting faults.
 
     Attributes:
-        cut_requests: Requests that a graceful shutdown cut, or shutdowns that
-            failed.
-        late_work: Work sent to upstreams that were leaving for too long.
-        both_accepted: Conflicting edits that were both accepted.
+        aborted_requests: Requests aborted by a graceful shutdown, and failed
+            shutdowns.
+        late_requests: Requests sent to a leaving upstream after the time limit.
+        both_accepted: Pairs of conflicting edits that were both accepted.
         edits: All edits.
         shutdowns: Graceful shutdowns.
     """
 
-    cut_requests: list[str] = field(default_factory=list)
-    late_work: list[str] = field(default_factory=list)
+    aborted_requests: list[str] = field(default_factory=list)
+    late_requests: list[str] = field(default_factory=list)
     both_accepted: list[str] = field(default_factory=list)
     edits: list[Edit] = field(default_factory=list)
     shutdowns: list[GracefulShutdown] = field(default_factory=list)
 
 
-class FaultActions:
-    """Applies faults.
+class FaultInjector:
+    """Injects faults and records what they reveal.
 
     Args:
         deployment: The deployment.
@@ -73,9 +73,9 @@
     """
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        self.observed = Observed()
+        self.observed = FaultObservations()
         self._deployment = deployment
-        self._draw = random.Random(f"edits/{seed}")
+        self._generator = random.Random(f"edits/{seed}")
         self._plan_by_router = {p.router_id: p for p in deployment.plans}
         self._leaving: set[str] = set()
         self._action_by_kind: dict[
@@ -84,8 +84,8 @@
             FaultKind.ROUTER_KILLED: self._router_killed,
             FaultKind.ROUTER_FROZEN: self._router_frozen,
             FaultKind.ROUTER_TERMINATED: self._router_terminated,
-            FaultKind.DATA_CENTRE_CUT: self._data_centre_cut,
-            FaultKind.PLATFORM_CUT: self._platform_cut,
+            FaultKind.DATA_CENTRE_ISOLATED: self._data_centre_isolated,
+            FaultKind.PLATFORM_UNREACHABLE: self._platform_unreachable,
             FaultKind.LINKS_SILENT: self._links_silent,
             FaultKind.LOG_OUTAGE: self._log_outage,
             FaultKind.LOG_SLOW: self._log_slow,
@@ -96,7 +96,7 @@
         }
 
     async def async_apply(self, fault: PlannedFault) -> None:
-        """Apply a fault for its time and heal it."""
+        """Inject a fault for its duration, then revert it."""
         await self._action_by_kind[fault.kind](fault)
 
     async def async_list_vms(self) -> None:
@@ -131,7 +131,9 @@
 
     async def _router_terminated(self, fault: PlannedFault) -> None:
         router = self._deployment.routers[fault.target]
-        lines_before = _cut_lines(router.log_file.read_text(errors="replace"))
+        lines_before = _find_abort_lines(
+            router.log_file.read_text(errors="replace")
+        )
         began_at = time.time()
         router.terminate()
         try:
@@ -144,29 +146,39 @@
         self.observed.shutdowns.append(
             GracefulShutdown(address, began_at, time.time())
         )
-        lines = _cut_lines(router.log_file.read_text(errors="replace"))
-        self.observed.cut_requests += lines[len(lines_before) :]
+        lines = _find_abort_lines(router.log_file.read_text(errors="replace"))
+        self.observed.aborted_requests += lines[len(lines_before) :]
         if status != 0:
-            self.observed.cut_requests.append(f"{fault}: exit status {status}")
+            self.observed.aborted_requests.append(
+                f"{fault}: exit status {status}"
+            )
         await asyncio.sleep(fault.seconds)
         await self._deployment.start_router(self._plan(fault))
 
-    async def _data_centre_cut(self, fault: PlannedFault) -> None:
-        await self._deployment.cut_data_centre(fault.target, cut=True)
+    async def _data_centre_isolated(self, fault: PlannedFault) -> None:
+        await self._deployment.set_data_centre_isolated(
+            fault.target, isolated=True
+        )
         try:
             await asyncio.sleep(fault.seconds)
         finally:
-            await self._deployment.cut_data_centre(fault.target, cut=False)
+            await self._deployment.set_data_centre_isolated(
+                fault.target, isolated=False
+            )
 
-    async def _platform_cut(self, fault: PlannedFault) -> None:
-        await self._deployment.cut_platform(fault.target, cut=True)
+    async def _platform_unreachable(self, fault: PlannedFault) -> None:
+        await self._deployment.set_platform_unreachable(
+            fault.target, unreachable=True
+        )
         try:
             await asyncio.sleep(fault.seconds)
         finally:
-            await self._deployment.cut_platform(fault.target, cut=False)
+            await self._deployment.set_platform_unreachable(
+                fault.target, unreachable=False
+            )
 
     async def _links_silent(self, fault: PlannedFault) -> None:
-        """Silence the connections of a data centre; they never recover."""
+        """Silently drop the traffic of a data centre's open connections."""
         for names, link in self._deployment.links.items():
             if fault.target in names:
                 await link.inject(silent=True)
@@ -181,7 +193,9 @@
 
     async def _log_slow(self, fault: PlannedFault) -> None:
         log = self._deployment.log
-        await log.inject(delay_ms=LOG_SLOW_MS, reply_delay_ms=LOG_SLOW_MS)
+        await log.inject(
+            delay_ms=SLOW_LOG_DELAY_MS, reply_delay_ms=SLOW_LOG_DELAY_MS
+        )
         try:
             await asyncio.sleep(fault.seconds)
         finally:
@@ -209,24 +223,24 @@
         await self.async_list_vms()
         try:
             await self._async_wait_listed(fault.target)
-            await asyncio.sleep(LEAVING_TARGET_SECONDS)
-            before = await _async_arrived(upstream)
+            await asyncio.sleep(LEAVING_GRACE_SECONDS)
+            before = await _async_count_received(upstream)
             await asyncio.sleep(fault.seconds)
-            after = await _async_arrived(upstream)
+            after = await _async_count_received(upstream)
         finally:
             self._leaving.discard(fault.target)
             await self.async_list_vms()
         if after > before:
-            self.observed.late_work.append(
+            self.observed.late_requests.append(
                 f"{fault}: {after - before} requests later than "
-                f"{LEAVING_TARGET_SECONDS:.0f} s"
+                f"{LEAVING_GRACE_SECONDS:.0f} s"
             )
 
     async def _async_wait_listed(self, name: str) -> None:
-        """Wait until readers of the VM list see that a VM leaves."""
+        """Wait until the VM list shows that a VM is leaving."""
         while True:
-            answer = await self._deployment.vms.get("/vms")
-            vms = msgspec.convert(answer, VmList).vms
+            response = await self._deployment.vms.get("/vms")
+            vms = msgspec.convert(response, VmList).vms
             if any(v.name == name and v.state is VmState.LEAVING for v in vms):
                 return
             await asyncio.sleep(POLL_SECONDS)
@@ -234,7 +248,9 @@
     async def _conflicting_edits(self, fault: PlannedFault) -> None:
         ends_at = time.monotonic() + fault.seconds
         while time.monotonic() < ends_at:
-            edits = await async_conflicting_edits(self._deployment, self._draw)
+            edits = await async_conflicting_edits(
+                self._deployment, self._generator
+            )
             accepted = [e for e in edits if e.status == STATUS_ACCEPTED]
             if len(accepted) > 1:
                 self.observed.both_accepted.append(str(accepted))
@@ -242,11 +258,11 @@
             await asyncio.sleep(EDITS_PERIOD_SECONDS)
 
 
-def _cut_lines(text: str) -> list[str]:
-    return [line for line in text.splitlines() if LOG_LINE_OF_CUT in line]
+def _find_abort_lines(text: str) -> list[str]:
+    return [line for line in text.splitlines() if ABORT_LOG_EVENT in line]
 
 
-async def _async_arrived(upstream: StandInProcess) -> int:
+async def _async_count_received(upstream: StandInProcess) -> int:
     """Return the number of requests that an upstream has received."""
     path = "/stats" if upstream.name.startswith("engine") else "/_runs"
     return msgspec.convert((await upstream.get(path))["arrived"], int)
--- a/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
+++ b/packages/standins/src/lacewingspar_standins/bench/soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the fault soak, and what they have seen."""
+"""Callers of the fault soak and the responses that they receive."""
 
 import asyncio
 import itertools
@@ -15,7 +15,7 @@
 from lacewingspar_router.http1.messages import ResponseEnd, ResponseHead
 from lacewingspar_standins.deployed.documents import request_bytes
 
-# Paths by weight. Those that flip exist in every other configuration.
+# Weights of the paths. Each flip path exists in every other configuration.
 WEIGHT_BY_PATH = {
     "/stream/": 4,
     "/stream-once/": 2,
@@ -26,31 +26,31 @@
 }
 # Paths whose requests must not run twice.
 SINGLE_RUN_PATHS = frozenset({"/stream-once/", "/write/"})
-# Part of the callers that leave before their answer.
-LEAVING_FRACTION = 0.06
-# Time between two requests of one caller, in seconds.
-LONGEST_PAUSE_SECONDS = 0.12
-# Callers wait this much longer than the deadline that they give.
-OVERTIME_SECONDS = 2.0
-CONNECT_SECONDS = 1.0
+# Fraction of the requests whose caller disconnects before the response.
+DISCONNECT_FRACTION = 0.06
+# Upper limit of the time between two requests of a caller.
+MAX_REQUEST_GAP_SECONDS = 0.12
+# Callers wait this long after the deadline of their request.
+DEADLINE_GRACE_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
-class SeenCall:
-    """A request and its answer, as its caller has seen them.
+class ObservedCall:
+    """A request and its response, as seen by the caller.
 
     Attributes:
-        request_id: Identity of the request.
-        path: Path.
+        request_id: Id of the request.
+        path: Path of the request.
         router_id: Router that it was sent to.
         sent_at: Time of sending in seconds of the event loop.
-        deadline_seconds: Time that the caller gave.
-        ended_at: Time of the end, or infinity.
-        left_at: Time at which the caller left, or infinity.
-        status: Status, or 0 without an answer.
-        headers: Headers in lower case.
-        body: Body as far as it came.
-        is_complete: Whether the end of the answer came.
+        deadline_seconds: Deadline of the request, relative to `sent_at`.
+        ended_at: Time at which the exchange ended, or infinity.
+        disconnected_at: Time at which the caller disconnected, or infinity.
+        status: HTTP status, or 0 without a response.
+        headers: Response headers by lower-case name.
+        body: Body received so far.
+        is_complete: Whether the end of the response was received.
     """
 
     request_id: str
@@ -59,16 +59,16 @@
     sent_at: float
     deadline_seconds: float
     ended_at: float = float("inf")
-    left_at: float = float("inf")
+    disconnected_at: float = float("inf")
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
     is_complete: bool = False
 
     @property
-    def is_closed_unanswered(self) -> bool:
-        """Return whether the connection ended without a whole answer."""
-        return not self.is_complete and self.left_at == float("inf")
+    def is_closed_early(self) -> bool:
+        """Return whether the connection closed before the response ended."""
+        return not self.is_complete and self.disconnected_at == float("inf")
 
 
 class SoakCallers:
@@ -78,7 +78,7 @@
         calls: All requests so far.
 
     Args:
-        address_by_router_id: Addresses for callers.
+        address_by_router_id: Caller addresses of the routers.
         seed: Seed of the load.
     """
 
@@ -86,7 +86,7 @@
         self._address_by_router_id = address_by_router_id
         self._seed = seed
         self._numbers = itertools.count(1)
-        self.calls: list[SeenCall] = []
+        self.calls: list[ObservedCall] = []
 
     async def async_run(self, callers: int) -> None:
         """Send requests until cancelled."""
@@ -105,14 +105,14 @@
                 continue
             try:
                 while await self._async_call(connection, router_id, generator):
-                    pause = generator.uniform(0, LONGEST_PAUSE_SECONDS)
-                    await asyncio.sleep(pause)
+                    request_gap = generator.uniform(0, MAX_REQUEST_GAP_SECONDS)
+                    await asyncio.sleep(request_gap)
             finally:
                 connection.abort()
 
     async def _async_connect(self, router_id: str) -> ClientConnection | None:
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 return await async_connect(
                     self._address_by_router_id[router_id]
                 )
@@ -125,12 +125,12 @@
         router_id: str,
         generator: random.Random,
     ) -> bool:
-        """Send one request; return whether the connection may be kept."""
+        """Send a request and return whether the connection is reusable."""
         loop = asyncio.get_running_loop()
         path = generator.choices(
             list(WEIGHT_BY_PATH), list(WEIGHT_BY_PATH.values())
         )[0]
-        call = SeenCall(
+        call = ObservedCall(
             request_id=f"s{self._seed}-{next(self._numbers)}",
             path=path,
             router_id=router_id,
@@ -138,9 +138,9 @@
             deadline_seconds=generator.choice((1.0, 2.0, 4.0)),
         )
         self.calls.append(call)
-        patience = call.deadline_seconds + OVERTIME_SECONDS
-        if generator.random() < LEAVING_FRACTION:
-            patience = generator.uniform(0.0, 0.05)
+        timeout_seconds = call.deadline_seconds + DEADLINE_GRACE_SECONDS
+        if generator.random() < DISCONNECT_FRACTION:
+            timeout_seconds = generator.uniform(0.0, 0.05)
         connection.send(
             request_bytes(
                 call.path,
@@ -150,10 +150,10 @@
             )
         )
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_seconds):
                 await _async_read(connection, call)
         except TimeoutError:
-            call.left_at = loop.time()
+            call.disconnected_at = loop.time()
         except (ConnectionBrokenError, InvalidResponseError):
             call.ended_at = loop.time()
         else:
@@ -163,7 +163,7 @@
         return connection.complete_exchange()
 
 
-async def _async_read(connection: ClientConnection, call: SeenCall) -> None:
+async def _async_read(connection: ClientConnection, call: ObservedCall) -> None:
     while True:
         match await connection.async_next_event():
             case ResponseHead(status, pairs):
--- a/tests/e2e/test_main_job.py
+++ b/tests/e2e/test_main_job.py
@@ -1,4 +1,4 @@
-"""Main job of the demo in a small form, with real processes."""
+"""Test the main flows of the demo with real processes."""
 
 import asyncio
 import json
@@ -14,9 +14,9 @@
     SmallFleet,
 )
 from lacewingspar_standins.demo.verdict import (
-    check_answers,
     check_duplicates,
     check_not_run,
+    check_responses,
     check_served,
     read_runs,
 )
@@ -42,7 +42,7 @@
 def check_stream(
     lines: list[str], marker: str, tokens: int, request_id: str
 ) -> None:
-    """Check that a stream is complete and that of its request."""
+    """Check that a stream is complete and belongs to its request."""
     data = [line.removeprefix("data: ") for line in lines if line]
     assert data[-1] == "[DONE]"
     events = [json.loads(item) for item in data[:-1]]
@@ -57,32 +57,32 @@
     return f"http://{small_fleet.plans[router_id].caller_address}{path}"
 
 
-async def test_streamed_chat_answer_is_whole(
+async def test_streamed_chat_response_is_complete(
     small_fleet: SmallFleet, http: httpx.AsyncClient
 ) -> None:
-    """Guards against streams that are cut, mixed up or not client-readable."""
+    """Guards against incomplete, mixed-up or malformed streams."""
     url = url_of(small_fleet, "east-router-1", "/v1/chat/completions")
     async with http.stream(
         "POST", url, json=chat("m1", 20), headers=HEADERS
-    ) as answer:
-        assert answer.status_code == 200
-        assert answer.headers["content-type"].startswith("text/event-stream")
-        lines = [line async for line in answer.aiter_lines()]
-    check_stream(lines, "m1", 20, answer.headers["x-request-id"])
+    ) as response:
+        assert response.status_code == 200
+        assert response.headers["content-type"].startswith("text/event-stream")
+        lines = [line async for line in response.aiter_lines()]
+    check_stream(lines, "m1", 20, response.headers["x-request-id"])
 
 
 @pytest.mark.parametrize("stream", [True, False])
 async def test_stock_chat_client_works_unchanged(
     small_fleet: SmallFleet, stream: bool
 ) -> None:
-    """Guards against answers that a common client library cannot read."""
+    """Guards against responses that a common client cannot parse."""
     base_url = url_of(small_fleet, "west-router-1", "/v1")
     async with openai.AsyncOpenAI(
         base_url=base_url, api_key=token_of("alpha"), max_retries=0
     ) as client:
         assert [model.id async for model in client.models.list()] == [MODEL]
         marker = f"stock-{stream}"
-        answer: Any = await client.chat.completions.create(
+        response: Any = await client.chat.completions.create(
             model=MODEL,
             max_tokens=5,
             stream=stream,
@@ -90,10 +90,10 @@
         )
         if stream:
             texts = [
-                part.choices[0].delta.content or "" async for part in answer
+                part.choices[0].delta.content or "" async for part in response
             ]
         else:
-            texts = [answer.choices[0].message.content]
+            texts = [response.choices[0].message.content]
     expected = [f"{marker}:{number}" for number in range(5)]
     assert "".join(texts).split() == expected
 
@@ -114,20 +114,20 @@
 async def test_keyed_call_repeated_at_another_router_runs_once(
     small_fleet: SmallFleet, http: httpx.AsyncClient
 ) -> None:
-    """Guards against a second run when a caller changes the router."""
+    """Guards against a second run when a caller switches routers."""
     headers = {**HEADERS, "idempotency-key": "order-1"}
-    answers = []
+    responses = []
     for router_id in ("east-router-1", "west-router-1"):
         url = url_of(small_fleet, router_id, f"/services/{SERVICE_PLAIN}/pay")
         for _ in range(MAX_TRIES):
-            answer = await http.post(url, json={"sum": 1}, headers=headers)
+            response = await http.post(url, json={"sum": 1}, headers=headers)
             # The other router may not have read the outcome yet.
-            if answer.status_code != 409:
+            if response.status_code != 409:
                 break
-            assert answer.json()["error"]["code"] == "in_progress"
+            assert response.json()["error"]["code"] == "in_progress"
             await asyncio.sleep(0.05)
-        answers.append(answer)
-    first, second = answers
+        responses.append(response)
+    first, second = responses
     assert first.status_code == second.status_code == 200
     assert second.json() == first.json()
     assert second.headers["idempotent-replayed"] == "true"
@@ -135,10 +135,10 @@
     assert runs.by_key["alpha/order-1"] == 1
 
 
-async def test_mixed_load_is_answered_correctly(
+async def test_mixed_load_gets_correct_responses(
     small_fleet: SmallFleet,
 ) -> None:
-    """Guards against duplicates, mixed-up answers and starved workspaces."""
+    """Guards against duplicates, mixed-up responses and starvation."""
     options = LoadOptions(
         addresses=small_fleet.caller_addresses,
         workspaces=tuple(
@@ -156,7 +156,7 @@
     result = await run_load(options)
     runs = await read_runs(small_fleet)
     for check in (
-        check_answers(result),
+        check_responses(result),
         check_duplicates(result, runs),
         check_not_run(result, runs),
         check_served(result),
@@ -168,18 +168,18 @@
 async def test_terminated_router_finishes_its_stream(
     small_fleet: SmallFleet, http: httpx.AsyncClient
 ) -> None:
-    """Guards against a graceful shutdown that cuts a request in flight."""
+    """Guards against a graceful shutdown that aborts a stream."""
     router_id = "east-router-2"
     await small_fleet.add_router(router_id, "east")
     router = small_fleet.routers[router_id]
     url = url_of(small_fleet, router_id, "/v1/chat/completions")
     async with http.stream(
         "POST", url, json=chat("m2", 100), headers=HEADERS
-    ) as answer:
-        lines = answer.aiter_lines()
+    ) as response:
+        lines = response.aiter_lines()
         received = [await anext(lines)]
         router.terminate()
         received += [line async for line in lines]
-    check_stream(received, "m2", 100, answer.headers["x-request-id"])
+    check_stream(received, "m2", 100, response.headers["x-request-id"])
     assert await router.wait() == 0
     assert b"request cut by shutdown" not in router.log_file.read_bytes()
--- a/tests/e2e/test_soak.py
+++ b/tests/e2e/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak with short seeded runs."""
+"""Test short seeded runs of the fault soak."""
 
 import pytest
 
@@ -8,9 +8,9 @@
 ROUNDS = 2
 
 
-# Seeds that have failed are kept here, each with its cause.
+# Add seeds that have failed, each with its cause.
 @pytest.mark.parametrize("seed", [1])
-async def test_soak_breaks_no_promise(seed: int) -> None:
+async def test_soak_violates_no_guarantee(seed: int) -> None:
     result = await async_soak(seed, ROUNDS, ROUTERS)
     assert not result.breaches
     assert result.calls_by_status[200] > 0
--- a/tests/standins/test_fault_checks.py
+++ b/tests/standins/test_fault_checks.py
@@ -9,13 +9,13 @@
 from lacewingspar_standins.bench.fault_actions import GracefulShutdown
 from lacewingspar_standins.bench.fault_checks import (
     UpstreamRuns,
-    answers_without_run,
-    cut_by_shutdowns,
+    aborted_by_shutdowns,
     differing_versions,
     repeated_runs,
+    responses_without_run,
     wrong_not_run,
 )
-from lacewingspar_standins.bench.fault_edits import VersionWatch
+from lacewingspar_standins.bench.fault_edits import VersionMonitor
 from lacewingspar_standins.bench.fault_plan import (
     FaultKind,
     Targets,
@@ -33,7 +33,7 @@
     load = LoadResult(0.0, {}, (), ("ran", "idle"), ("once", "never"), {}, 0.0)
     assert repeated_runs(runs) == ["ws/twice ran 2 times"]
     assert wrong_not_run([load], runs) == ["request ran ran 1 times"]
-    assert answers_without_run([load], runs) == [
+    assert responses_without_run([load], runs) == [
         "never was answered and never ran"
     ]
     versions: Any = {"a": {"chat": 3}, "b": {"chat": 2}, "c": None}
@@ -42,26 +42,26 @@
 
 
 @pytest.mark.parametrize(
-    ("address", "at_seconds", "is_cut"),
+    ("address", "at_seconds", "is_aborted"),
     [("r", 9.0, False), ("r", 11.0, True), ("s", 11.0, False)],
 )
 def test_request_without_response_at_a_shutdown(
-    address: str, at_seconds: float, is_cut: bool
+    address: str, at_seconds: float, is_aborted: bool
 ) -> None:
-    """Guards against overlooking requests cut off by a graceful shutdown."""
+    """Guards against overlooking requests aborted by a graceful shutdown."""
     broken = BrokenConnection(at_seconds, address, "no_answer", "m")
     load = LoadResult(0.0, {}, (), (), (), {}, 0.0, (broken,))
     shutdowns = [GracefulShutdown("r", 10.0, 12.0)]
-    assert bool(cut_by_shutdowns([load], shutdowns)) is is_cut
+    assert bool(aborted_by_shutdowns([load], shutdowns)) is is_aborted
 
 
 def test_reverted_version_is_a_breach() -> None:
     """Guards against overlooking a version that reverts across a restart."""
-    watch = VersionWatch()
+    watch = VersionMonitor()
     for instance, version in ((1, 5), (1, 4), (2, 4), (2, 5)):
-        watch.note("r", cast(Any, instance), {"chat": version})
+        watch.record_versions("r", cast(Any, instance), {"chat": version})
     assert [text.rsplit(", ", 1)[1] for text in watch.reverted] == [
-        "same life",
+        "without restart",
         "after restart",
     ]
 
